--- a/deploy/run_host.py
+++ b/deploy/run_host.py
@@ -1,9 +1,10 @@
-"""Starts the entry host's program: ``python3 -S deploy/run_host.py``.
+"""Entry point of the entry host: ``python3 -S deploy/run_host.py``.
 
-SIGHUP, the signal that the settings have changed, ends a process that has
-not taken it over yet.  An interpreter's search for installed packages is
-most of its start; ``-S`` leaves it until the signal is ignored, after 0.03 s
-instead of 0.07 s.
+The platform sends SIGHUP when the settings change, and its default action
+ends the process.  The signal is therefore ignored as early as possible,
+until the daemon installs its handler.  ``-S`` defers the interpreter's
+search for installed packages, which takes most of its startup time, until
+after that: SIGHUP is ignored after 0.03 s instead of 0.07 s.
 """
 
 import signal
@@ -12,7 +13,7 @@
 
 
 def main():
-    """Do what ``-S`` left undone, then run the program."""
+    """Run the site setup that ``-S`` skipped, then the program."""
     import pathlib
     import site
     import sys
--- a/pearrun/platform/codec.py
+++ b/pearrun/platform/codec.py
@@ -1,35 +1,35 @@
-"""Decoding of callers' requests, encoding of requests to endpoints."""
+"""Decoding of callers' requests and encoding of endpoint requests."""
 
 import json
 
 from pearrun import exceptions
 from pearrun.http1.messages import drop_hop_by_hop
-from pearrun.platform import headers as names
+from pearrun.platform import headers as header_names
 from pearrun.relay.call import Call
 from pearrun.relay.verdicts import Verdict
 from pearrun.shared.prompts import Prompt
 from pearrun.shared.prompts import PromptPart
 
-KEY_SCHEME = 'token '
-# Least urgent value an endpoint knows.
-LEAST_URGENT = 9
-# A customer's rank goes before its route's: routes of one customer rank
-# use this many values.
-ROUTE_RANKS = 3
-# Answer time assumed where neither caller nor route names one.
+AUTH_SCHEME_PREFIX = 'token '
+# Highest number, and so the lowest priority, that endpoints accept.
+LOWEST_PRIORITY = 9
+# The customer's priority takes precedence over the route's: each customer
+# priority is divided into this many route priorities.
+ROUTE_PRIORITY_LEVELS = 3
+# Used if neither the caller nor the route sets a timeout.
 DEFAULT_TIMEOUT_MS = 30_000
-# Headers of an endpoint's answer that are not passed on as they are.
-ANSWER_DROPPED = frozenset((b'content-length',))
+# Headers of an endpoint's response that are not forwarded.
+DROPPED_RESPONSE_HEADERS = frozenset((b'content-length',))
 
 
 def decode_call(request, config):
-    """Turn a request into a call.
+    """Decode a request into a call.
 
     :param request: the :class:`Request`.
     :param config: the :class:`Configuration` in force.
     :returns: a :class:`Call`.
-    :raises UnknownRouteError: no route takes it.
-    :raises UnknownKeyError: its key is no customer's.
+    :raises UnknownRouteError: no route matches.
+    :raises UnknownKeyError: the API key is missing or matches no customer.
     :raises BadRequestError: a header is missing or malformed.
     """
     host = (request.get(b'host') or '').rpartition(':')
@@ -38,10 +38,10 @@
     route = config.find_route(name, path)
     if route is None:
         raise exceptions.UnknownRouteError(f'no route for {name}{path}')
-    customer = find_customer(request, route, config)
-    attempt_id = request.get(names.ATTEMPT_ID)
+    customer = authenticate(request, route, config)
+    attempt_id = request.get(header_names.ATTEMPT_ID)
     if not attempt_id:
-        raise exceptions.BadRequestError('the request has no id')
+        raise exceptions.BadRequestError('the request id header is missing')
     allowed_ms = decode_deadline(request)
     timeout_ms = route.timeout_ms or DEFAULT_TIMEOUT_MS
     prompt = decode_prompt(request)
@@ -53,40 +53,46 @@
         deadline_ms=request.received_ms + (allowed_ms or timeout_ms),
         timeout_at_ms=request.received_ms
         + min(timeout_ms, allowed_ms or timeout_ms),
-        priority=rank(route, customer),
+        priority=compute_priority(route, customer),
         units=count_units(customer, prompt),
         prompt=prompt,
-        last_event_id=request.get(names.LAST_EVENT_ID),
+        last_event_id=request.get(header_names.LAST_EVENT_ID),
     )
 
 
-def find_customer(request, route, config):
-    """Return the customer whose key a request bears.
+def authenticate(request, route, config):
+    """Return the customer that a request's API key belongs to.
 
-    :returns: a :class:`Customer`; ``None`` where none is needed.
-    :raises UnknownKeyError: the key is missing or no customer's.
+    :returns: a :class:`Customer`; ``None`` if no key matches and the route is
+        public, or if no customers are configured.
+    :raises UnknownKeyError: the key is missing or matches no customer.
     """
     if not config.has_customers:
         return None
-    value = request.get(names.AUTHORIZATION) or ''
+    value = request.get(header_names.AUTHORIZATION) or ''
     customer = None
-    if value.lower().startswith(KEY_SCHEME):
-        customer = config.find_customer(value[len(KEY_SCHEME) :].strip())
+    if value.lower().startswith(AUTH_SCHEME_PREFIX):
+        customer = config.find_customer(
+            value[len(AUTH_SCHEME_PREFIX) :].strip()
+        )
     if customer is None and not route.public:
-        raise exceptions.UnknownKeyError('no customer has this key')
+        raise exceptions.UnknownKeyError('the API key matches no customer')
     return customer
 
 
-def rank(route, customer):
-    """Return how urgent a call is; 0 is first."""
+def compute_priority(route, customer):
+    """Return a call's priority; 0 is the most urgent."""
     if customer is None or customer.priority is None:
-        return min(LEAST_URGENT, route.priority)
-    within = min(ROUTE_RANKS - 1, route.priority)
-    return min(LEAST_URGENT, customer.priority * ROUTE_RANKS + within)
+        return min(LOWEST_PRIORITY, route.priority)
+    route_priority = min(ROUTE_PRIORITY_LEVELS - 1, route.priority)
+    return min(
+        LOWEST_PRIORITY,
+        customer.priority * ROUTE_PRIORITY_LEVELS + route_priority,
+    )
 
 
 def count_units(customer, prompt):
-    """Return what a call counts against its customer's quota."""
+    """Return how many quota units a call consumes."""
     if customer is None or not customer.counts_tokens:
         return 1.0
     tokens = prompt.tokens + prompt.output_tokens
@@ -94,36 +100,40 @@
 
 
 def decode_deadline(request):
-    """Return the milliseconds a caller will wait, or ``None``."""
-    value = request.get(names.DEADLINE_MS)
+    """Return how long the caller waits, in milliseconds, or ``None``."""
+    value = request.get(header_names.DEADLINE_MS)
     if value is None:
         return None
     try:
         return max(1, int(float(value)))
     except ValueError as exc:
-        raise exceptions.BadRequestError(f'bad deadline {value!r}') from exc
+        raise exceptions.BadRequestError(
+            f'invalid deadline {value!r}'
+        ) from exc
 
 
 def decode_prompt(request):
-    """Decode what a request says of its prompt."""
-    count = request.get(names.TOKEN_COUNT)
+    """Decode the headers that describe a request's prompt."""
+    count = request.get(header_names.TOKEN_COUNT)
     if count is None:
         return Prompt()
     try:
         tokens, _, output_tokens = count.partition(',')
-        hint = request.get(names.LENGTH_HINT)
+        hint = request.get(header_names.LENGTH_HINT)
         return Prompt(
             tokens=int(tokens),
             output_tokens=int(output_tokens or 0),
             expected_tokens=int(float(hint)) if hint else None,
-            parts=decode_parts(request.get(names.PROMPT_PARTS)),
+            parts=decode_parts(request.get(header_names.PROMPT_PARTS)),
         )
     except ValueError as exc:
-        raise exceptions.BadRequestError(f'bad token count: {exc}') from exc
+        raise exceptions.BadRequestError(
+            f'invalid token count: {exc}'
+        ) from exc
 
 
 def decode_parts(value):
-    """Decode a prompt's parts: ID:TOKENS, separated by commas."""
+    """Decode the parts of a prompt, a comma-separated list of ID:TOKENS."""
     parts = []
     for entry in (value or '').split(','):
         part_id, _, tokens = entry.strip().partition(':')
@@ -133,59 +143,62 @@
 
 
 class EndpointCodec:
-    """Headers between this host and endpoints or callers."""
+    """Encodes and decodes headers of endpoint and caller messages."""
 
     def encode_headers(self, call, record, now_ms, last_event_id):
-        """Return the headers of a call's request to an endpoint.
+        """Return the headers of the request that sends a call to an endpoint.
 
         :param record: the endpoint's :class:`EndpointRecord`.
-        :param last_event_id: the event to go on after, or ``None``.
+        :param last_event_id: id of the last event received, after which the
+            stream resumes; ``None`` for a new stream.
         """
         request = call.request
-        headers = drop_hop_by_hop(request.headers, names.OWN)
+        headers = drop_hop_by_hop(request.headers, header_names.RESERVED)
         left_ms = max(1, call.timeout_at_ms - now_ms)
-        own = [
+        added = [
             (b'Pearrun-Deadline-Ms', str(left_ms)),
             (b'Pearrun-Expect-Runner', record.name),
         ]
         if call.prompt.tokens:
-            own.append((b'Pearrun-Urgency', str(call.priority)))
+            added.append((b'Pearrun-Urgency', str(call.priority)))
         if call.customer is not None:
-            own.append((b'Pearrun-Tenant', call.customer.name))
+            added.append((b'Pearrun-Tenant', call.customer.name))
         if last_event_id is not None:
-            own.append((b'Last-Event-Id', last_event_id))
+            added.append((b'Last-Event-Id', last_event_id))
         if request.has_body:
-            own.append((b'Content-Length', str(len(request.body))))
-        headers.extend((name, value.encode('latin-1')) for name, value in own)
+            added.append((b'Content-Length', str(len(request.body))))
+        headers.extend(
+            (name, value.encode('latin-1')) for name, value in added
+        )
         return headers
 
-    def judge(self, head, call):
-        """Say what a response head means for a call.
+    def classify_response(self, head, call):
+        """Classify a response to a call by its status and headers.
 
         :returns: a :class:`Verdict`.
         """
-        echoed = head.get(names.ATTEMPT_ID)
+        echoed = head.get(header_names.ATTEMPT_ID)
         if echoed is not None and echoed != call.id:
             return Verdict.STRAY
         if head.status == 421:
             return Verdict.WRONG_ENDPOINT
-        if head.get(names.NOT_RUN) is not None:
+        if head.get(header_names.NOT_RUN) is not None:
             return Verdict.NOT_RUN
-        if head.get(names.SEAL) is None:
+        if head.get(header_names.SEAL) is None:
             return Verdict.UNSEALED
         return Verdict.ANSWER
 
     def forward_headers(self, head):
-        """Return the headers of an answer to pass on."""
-        return drop_hop_by_hop(head.headers, ANSWER_DROPPED)
+        """Return the headers of a response that are sent to the caller."""
+        return drop_hop_by_hop(head.headers, DROPPED_RESPONSE_HEADERS)
 
     def encode_error(self, error):
-        """Encode an error of ours for a caller.
+        """Encode an error raised by this host as a response to the caller.
 
         :returns: ``(body, headers)``.
         """
         headers = [(b'Content-Type', b'application/json')]
         if error.retry_after_s is not None:
             value = f'{error.retry_after_s:.3f}'.encode()
-            headers.append((names.RETRY_AFTER, value))
+            headers.append((header_names.RETRY_AFTER, value))
         return json.dumps(error.to_body()).encode(), headers
--- a/pearrun/platform/daemon.py
+++ b/pearrun/platform/daemon.py
@@ -1,4 +1,4 @@
-"""The entry host's program: starts its parts, follows signals."""
+"""The entry host's daemon: component life cycle and signal handling."""
 
 import asyncio
 import os
@@ -18,11 +18,11 @@
 from pearrun.platform import statelog
 from pearrun.platform.codec import EndpointCodec
 from pearrun.platform.decoding import decode_configuration
-from pearrun.platform.dutycalls import DutyClient
+from pearrun.platform.dutyclient import DutyClient
 from pearrun.platform.endpointlist import EndpointFollower
-from pearrun.platform.following import ConfigFollower
-from pearrun.platform.front import Front
-from pearrun.platform.front import Readiness
+from pearrun.platform.followers import ConfigFollower
+from pearrun.platform.frontend import Frontend
+from pearrun.platform.frontend import ReadinessHandler
 from pearrun.platform.leaselog import LeaseLog
 from pearrun.platform.membership import MemberFollower
 from pearrun.platform.quarantinelog import QuarantineFollower
@@ -39,38 +39,41 @@
 from pearrun.shared.scaler import Scaler
 
 METRICS_PORT = 9464
-# After the stop signal callers are still sent here until the platform
-# has asked twice, once a second; then no new connection comes.
-LEAVE_MS = 2600
-# Time before the kill at which work still running is broken off.
-STOP_MARGIN_MS = 700
-# How often the end of the last request is looked for, and the settings
-# file for a change.
+# How long new connections are accepted after the stop signal.  The platform
+# checks readiness once a second and routes callers here until two checks have
+# failed.
+STOP_ACCEPT_MS = 2600
+# Requests still running this long before the kill are aborted.
+KILL_MARGIN_MS = 700
+# Interval of checks for requests still running during the shutdown.
 STOP_POLL_MS = 50
+# Interval of checks for a changed settings file.
 SETTINGS_POLL_MS = 1000
 
 
 class Daemon:
-    """All parts of one entry host.
+    """Owns and runs all components of one entry host.
 
-    :param settings: the host's whole :class:`HostSettings`.
-    :param log_writer: counts the log lines that were dropped.
-    :param load_settings: reads the settings file again.
+    :param settings: the host's :class:`HostSettings`.
+    :param log_writer: log writer whose count of dropped lines is exported.
+    :param load_settings: function that reads the settings file.
     """
 
     def __init__(
         self, settings, log_writer, load_settings=settings_module.load
     ):
         self.load_settings = load_settings
-        self.last_bad_settings = None
+        self.last_settings_error = None
         self.settings = settings
         self.log_writer = log_writer
         self.clock = Clock()
         self.host = HostContext(settings, EndpointCodec(), self.clock)
         self.store = StoreClient(settings.store)
         self.relay = Relay(self.host)
-        self.front = Server(Front(self.host, self.relay).handle, self.limits)
-        self.ready = Server(Readiness(self.host).handle)
+        self.front = Server(
+            Frontend(self.host, self.relay).handle, self.get_limits
+        )
+        self.ready = Server(ReadinessHandler(self.host).handle)
         self.metrics = Server(self.serve_metrics)
         self.started_ms = self.clock.wall()
         self.reports = ReportBoard(self.host, decode_configuration)
@@ -80,13 +83,13 @@
         self.host.quarantine.tell_others = self.reporter.tell_at_once
         self.duties = self.make_duties()
         self.members = MemberFollower(
-            self.host, self.store, self.own_entry(), self.holds_lease
+            self.host, self.store, self.make_own_member(), self.holds_lease
         )
         self.stop = asyncio.Event()
         self.tasks = []
 
-    def own_entry(self):
-        """Return this host's entry on the list of hosts."""
+    def make_own_member(self):
+        """Return this host's entry in the list of hosts."""
         settings = self.settings
         return Member(
             name=settings.name,
@@ -96,97 +99,103 @@
             link_mbps=settings.link_mbps,
         )
 
-    def make_links(self):
-        """Return the :class:`PeerLinks`."""
+    def make_peer_links(self):
+        """Return the :class:`PeerLinks` to the other hosts."""
         return PeerLinks(
-            self.host, self.own_entry(), self.reports, self.reporter
+            self.host, self.make_own_member(), self.reports, self.reporter
         )
 
     def make_duties(self):
-        """Return the :class:`Duties`; ``None`` where there are none."""
+        """Return the :class:`Duties`; ``None`` if none are configured."""
         settings = self.settings
         if settings.duties is None:
             return None
         quiet_ms = max(QUIET_MS, settings.lease_ms + QUIET_MARGIN_MS)
         view = LeaseView(f'{settings.name}/{self.started_ms}', quiet_ms)
-        calls = DutyClient(settings.duties.address, settings.name)
-        scaler = Scaler(self.host, calls)
-        log = LeaseLog(self.store, view, self.clock)
-        saved = UsageLog(self.store)
-        duties = Duties(self.host, log, calls, self.reports, scaler, saved)
+        client = DutyClient(settings.duties.address, settings.name)
+        scaler = Scaler(self.host, client)
+        lease_log = LeaseLog(self.store, view, self.clock)
+        usage_log = UsageLog(self.store)
+        duties = Duties(
+            self.host, lease_log, client, self.reports, scaler, usage_log
+        )
         self.reporter.make_notice = self.make_duty_notice
         return duties
 
     def make_duty_notice(self):
-        """Return what the others are told of the lease, if it is here."""
+        """Return the notice of a held lease for other hosts, or ``None``."""
         if not self.duties.holds():
             return None
         view = self.duties.view
         return reports.DutyNotice(self.settings.name, view.fencing, view.end)
 
     def holds_lease(self):
-        """Say whether this host performs the duties now."""
+        """Return whether this host holds the lease on the duties."""
         return self.duties is not None and self.duties.holds()
 
-    def limits(self):
-        """Return the limits on callers that are in force."""
+    def get_limits(self):
+        """Return the limits on requests and connections in force."""
         config = self.host.config.current
         return config.limits if config else ServerLimits()
 
     async def run(self):
-        """Serve until the stop signal, then finish what was begun."""
+        """Serve until the stop signal, then shut down gracefully."""
         loop = asyncio.get_running_loop()
         loop.add_signal_handler(signal.SIGTERM, self.stop.set)
         loop.add_signal_handler(signal.SIGHUP, self.reload)
         await self.start()
         await self.stop.wait()
-        await self.leave()
+        await self.shut_down()
 
     async def start(self):
-        """Begin to serve."""
+        """Start the background tasks and listen on all ports."""
         logger.bind(ip=self.settings.ip, pid=os.getpid()).info('start')
-        for part in self.parts():
-            self.tasks.append(asyncio.create_task(watch(part)))
+        for coroutine in self.make_background_coroutines():
+            self.tasks.append(asyncio.create_task(supervise(coroutine)))
         await self.front.listen(self.settings.front_address)
         await self.ready.listen(self.settings.ready_address)
         await self.metrics.listen(f'{self.settings.ip}:{METRICS_PORT}')
 
-    def parts(self):
-        """Return the coroutines that run for the process's whole life."""
-        parts = [
+    def make_background_coroutines(self):
+        """Return the coroutines that run for the lifetime of the process."""
+        coroutines = [
             ConfigFollower(self.host, self.store).run(),
             EndpointFollower(self.host, self.store).run(),
             self.members.run(),
             QuarantineFollower(self.host, self.store).run(),
             self.reporter.run(),
-            self.make_links().run(),
+            self.make_peer_links().run(),
             self.watch_settings(),
             statelog.log_state(self),
         ]
         if self.duties is not None:
-            parts.append(self.duties.run())
-        return parts
+            coroutines.append(self.duties.run())
+        return coroutines
+
+    async def shut_down(self):
+        """Stop accepting connections, finish open requests, then close.
 
-    async def leave(self):
-        """Finish what was begun, refuse nothing, and end in time."""
+        Requests that arrive before the listening socket closes are served;
+        those that have not finished shortly before the kill are aborted.
+        """
         began_ms = self.clock.now()
         self.host.stopping = True
         self.front.closing = True
         logger.bind(requests=self.front.busy).info('stopping')
-        last_ms = began_ms + self.settings.stop_ms - STOP_MARGIN_MS
-        await asyncio.sleep(to_seconds(LEAVE_MS))
-        # From here on no request is read that could not be finished.
+        last_ms = began_ms + self.settings.shutdown_ms - KILL_MARGIN_MS
+        await asyncio.sleep(to_seconds(STOP_ACCEPT_MS))
+        # No more requests are read: they might not finish before the kill.
         self.front.close()
         while self.front.busy and self.clock.now() < last_ms:
             await asyncio.sleep(to_seconds(STOP_POLL_MS))
         logger.bind(
             requests=self.front.busy, after_ms=self.clock.since(began_ms)
         ).info('stop')
-        await self.members.leave()
+        await self.members.deregister()
         await self.end()
 
     async def end(self):
-        """Close everything at once."""
+        """Abort all connections and cancel all background tasks."""
         for server in (self.front, self.ready, self.metrics):
             server.close()
             server.abort()
@@ -195,38 +204,40 @@
         await asyncio.gather(*self.tasks, return_exceptions=True)
 
     def reload(self):
-        """Read the settings file again; keep the old ones if it is bad."""
+        """Reload the settings file; keep the old settings if it is invalid."""
         try:
             settings = self.load_settings()
         except exceptions.SettingsError as exc:
-            if exc.message != self.last_bad_settings:
-                self.last_bad_settings = exc.message
+            if exc.message != self.last_settings_error:
+                self.last_settings_error = exc.message
                 logger.bind(code=exc.code).error(
-                    f'settings left aside: {exc.message}'
+                    f'invalid settings ignored: {exc.message}'
                 )
             return
-        self.last_bad_settings = None
+        self.last_settings_error = None
         if settings == self.settings:
             return
         self.settings = settings
         self.host.settings = settings
-        self.store.use(settings.store)
+        self.store.update_settings(settings.store)
         logger.info('settings reloaded')
 
     async def watch_settings(self):
-        """Reload the settings file when it changes without a signal."""
+        """Reload the settings file periodically, in case no signal came."""
         while True:
             await asyncio.sleep(to_seconds(SETTINGS_POLL_MS))
             self.reload()
 
     async def serve_metrics(self, request, caller):
-        """Answer with this host's metrics as text."""
-        text = self.host.counters.render(self.gauges(), self.store.calls)
+        """Respond with this host's metrics in the Prometheus text format."""
+        text = self.host.counters.render(
+            self.collect_gauges(), self.store.calls
+        )
         headers = [(b'Content-Type', b'text/plain; version=0.0.4')]
         await caller.reply(200, headers, text.encode())
 
-    def gauges(self):
-        """Return present values by name."""
+    def collect_gauges(self):
+        """Return the current values of all gauges by name."""
         now = self.clock.now()
         return {
             'ready': int(self.host.is_ready()),
@@ -247,12 +258,15 @@
         }
 
 
-async def watch(part):
-    """Run a part; end the process if it fails, so that it is restarted."""
+async def supervise(coroutine):
+    """Run a background coroutine; stop the process if it fails.
+
+    The platform then restarts the process.
+    """
     try:
-        await part
+        await coroutine
     except asyncio.CancelledError:
         raise
     except Exception:
-        logger.exception('part failed')
+        logger.exception('background task failed')
         os.kill(os.getpid(), signal.SIGTERM)
--- a/pearrun/platform/decoding.py
+++ b/pearrun/platform/decoding.py
@@ -1,4 +1,4 @@
-"""Decoding of what the operator and the endpoints write to the store."""
+"""Decoding of store records written by the operator and by endpoints."""
 
 import ipaddress
 import json
@@ -16,10 +16,10 @@
 from pearrun.shared.fleet import EndpointRecord
 from pearrun.states import EndpointState
 
-# Fields whose name on the wire says little:
-# - 'split': services that share a route, in place of 'service';
-# - 'stage', 'call_seq': of engines' orders, not used here;
-# - 'born': when the endpoint's process started, in Unix milliseconds.
+# Fields whose names are not self-explanatory:
+# - 'split': weighted services that share a route; replaces 'service';
+# - 'stage', 'call_seq': belong to orders of engines, not used here;
+# - 'born': start time of the endpoint's process, in Unix milliseconds.
 
 ENDPOINT_STATES = {
     'ready': EndpointState.LIVE,
@@ -61,7 +61,7 @@
         name=item['name'],
         host=item['host'],
         path_prefix=item['path_prefix'],
-        # Kinds this version does not know are never repeated.
+        # Calls of a kind unknown to this version are never retried.
         kind=CallKind(kind)
         if kind in ('idempotent', 'stream')
         else CallKind.NON_IDEMPOTENT,
@@ -76,7 +76,7 @@
 
 
 def decode_targets(item):
-    """Decode the services that a route's calls go to."""
+    """Decode the services that receive a route's calls."""
     if item.get('split'):
         return tuple(
             WeightedService(part['service'], float(part['weight']))
@@ -102,7 +102,7 @@
 
 
 def decode_scale(item):
-    """Decode how many endpoints of a service may be ordered."""
+    """Decode a service's autoscaling limits."""
     price = item.get('spot_price')
     return ScaleLimits(
         smallest=int(item['min']),
@@ -128,18 +128,23 @@
 
 
 def decode_limits(item):
-    """Decode what callers may send."""
-    usual = ServerLimits()
+    """Decode the limits on requests and connections of callers.
+
+    A limit that is missing or 0 gets its default value.
+    """
+    defaults = ServerLimits()
     return ServerLimits(
         max_header_bytes=int(
-            item.get('max_header_bytes') or usual.max_header_bytes
+            item.get('max_header_bytes') or defaults.max_header_bytes
+        ),
+        max_body_bytes=int(
+            item.get('max_body_bytes') or defaults.max_body_bytes
         ),
-        max_body_bytes=int(item.get('max_body_bytes') or usual.max_body_bytes),
         header_timeout_ms=int(
-            item.get('header_timeout_ms') or usual.header_timeout_ms
+            item.get('header_timeout_ms') or defaults.header_timeout_ms
         ),
         idle_timeout_ms=int(
-            item.get('idle_timeout_ms') or usual.idle_timeout_ms
+            item.get('idle_timeout_ms') or defaults.idle_timeout_ms
         ),
     )
 
@@ -147,8 +152,8 @@
 def decode_endpoint(name, raw):
     """Decode an endpoint's entry.
 
-    Entries of other writers are told by their fields: one that lacks a
-    field, or has one of another type, names no endpoint.
+    The topic may hold records of other writers.  A record that lacks a
+    required field, or has a field of the wrong type, is not an endpoint's.
 
     :param name: the record's key.
     :param raw: the record's bytes.
@@ -157,18 +162,18 @@
     """
     try:
         item = json.loads(raw)
-        check_address(take_typed(item, 'addr', str))
-        leaves_ms = take_typed(item, 'leaves_ms', (int, float), None)
+        check_address(get_typed(item, 'addr', str))
+        leaves_ms = get_typed(item, 'leaves_ms', (int, float), None)
         return EndpointRecord(
             name=name,
-            service=take_typed(item, 'service', str),
+            service=get_typed(item, 'service', str),
             address=item['addr'],
-            zone=take_typed(item, 'zone', str),
-            slots=take_count(item, 'slots'),
-            state=ENDPOINT_STATES[take_typed(item, 'state', str)],
-            reclaimable=take_typed(item, 'spot', bool, False),
+            zone=get_typed(item, 'zone', str),
+            slots=get_count(item, 'slots'),
+            state=ENDPOINT_STATES[get_typed(item, 'state', str)],
+            reclaimable=get_typed(item, 'spot', bool, False),
             leaves_ms=int(leaves_ms) if leaves_ms is not None else None,
-            started_ms=take_typed(item, 'born', int, 0),
+            started_ms=get_typed(item, 'born', int, 0),
         )
     except (
         KeyError,
@@ -191,34 +196,34 @@
     ip, _, port = address.rpartition(':')
     ipaddress.ip_address(ip)
     if not 0 < int(port) < 65_536:
-        raise ValueError(f'no port: {address}')
+        raise ValueError(f'invalid port: {address}')
 
 
-def take_count(item, name):
-    """Return a field that is a whole number of at least 1.
+def get_count(item, name):
+    """Return an integer field that must be at least 1.
 
-    :raises ValueError: it is less.
+    :raises ValueError: it is less than 1.
     """
-    count = take_typed(item, name, int)
+    count = get_typed(item, name, int)
     if count < 1:
-        raise ValueError(f'{name}: {count}')
+        raise ValueError(f'{name} is less than 1: {count}')
     return count
 
 
-def take_typed(item, name, kinds, *default):
-    """Return a field after a check of its type.
+def get_typed(item, name, kinds, *default):
+    """Return a field after checking its type.
 
     :param kinds: a type or a tuple of types.
-    :param default: returned where the field is missing; without it, the
-        field must be there.
-    :raises KeyError: a field that must be there is missing.
-    :raises TypeError: it has another type.
+    :param default: value of a missing field; without it, the field is
+        required.
+    :raises KeyError: a required field is missing.
+    :raises TypeError: the field has the wrong type.
     """
     if default and name not in item:
         return default[0]
     value = item[name]
-    # A bool is an int to Python, though not on the wire.
-    is_stray_bool = isinstance(value, bool) and kinds is not bool
-    if is_stray_bool or not isinstance(value, kinds):
-        raise TypeError(f'{name}: {value!r}')
+    # bool is a subclass of int in Python, but not a number in JSON.
+    is_unexpected_bool = isinstance(value, bool) and kinds is not bool
+    if is_unexpected_bool or not isinstance(value, kinds):
+        raise TypeError(f'{name} has the wrong type: {value!r}')
     return value
--- a/pearrun/platform/dutycalls.py
+++ b/pearrun/platform/dutyclient.py
@@ -1,4 +1,7 @@
-"""Calls of the duties to the platform."""
+"""Client of the platform API that the duties call.
+
+Duties are tasks that only the holder of the lease performs for all hosts.
+"""
 
 import asyncio
 import json
@@ -7,24 +10,24 @@
 from pearrun.clock import to_seconds
 from pearrun.http1.pool import Pool
 from pearrun.http1.pool import PoolSettings
-from pearrun.platform import headers as names
+from pearrun.platform import headers as header_names
 
-CONNECT_MS = 800
-SILENCE_MS = 1500
-# Longest wait for an answer; less where the lease ends before.
-CALL_MS = 2500
-# Orders for all zones of a service are sent together.
+CONNECT_TIMEOUT_MS = 800
+# How long sent data may stay unacknowledged before the connection is closed.
+TCP_USER_TIMEOUT_MS = 1500
+# Maximum wait for a response; shorter if the lease ends earlier.
+CALL_TIMEOUT_MS = 2500
+# The scaling orders of a service for all its zones are sent concurrently.
 MAX_CONNECTIONS = 8
 MAX_BODY_BYTES = 64 * 1024
 
 
 class DutyClient:
-    """Sends the duties' calls, none of which outlasts its term.
+    """Sends the duties' calls and aborts each at the end of its term.
 
-    A call is given up at the end of its term with a reset of its
-    connection, which drops what has not arrived: bytes that a broken path
-    holds back would otherwise be sent again once it heals, seconds after a
-    successor has begun to act.
+    Aborting resets the connection, which discards the data not delivered
+    yet.  Otherwise TCP would retransmit it once an interrupted network path
+    recovers, seconds after the next lease holder has started to act.
 
     :param address: ``IP:PORT`` of the platform's API.
     :param holder: this host's name.
@@ -34,24 +37,29 @@
         self.address = address
         self.holder = holder
         self.pool = Pool(
-            address, PoolSettings(MAX_CONNECTIONS, CONNECT_MS, SILENCE_MS)
+            address,
+            PoolSettings(
+                MAX_CONNECTIONS, CONNECT_TIMEOUT_MS, TCP_USER_TIMEOUT_MS
+            ),
         )
 
     async def report_usage(self, term, window, counts):
-        """Report the calls of one window, by customer.
+        """Report the usage of one window.
 
-        :param term: the :class:`Term` of this host.
-        :raises DutyCallError: it was not taken, or no answer came.
+        :param term: the :class:`Term` of this host as lease holder.
+        :param window: number of the window.
+        :param counts: usage by customer.
+        :raises DutyCallError: it was rejected, or no response came.
         """
         body = {'window_no': window, 'counts': counts}
         await self._post('/usage', term, body)
 
     async def order(self, term, order):
-        """Order a number of endpoints.
+        """Request a number of endpoints for a service in a zone.
 
-        :param term: the :class:`Term` of this host.
+        :param term: the :class:`Term` of this host as lease holder.
         :param order: an :class:`Order`.
-        :raises DutyCallError: it was not taken, or no answer came.
+        :raises DutyCallError: it was rejected, or no response came.
         """
         body = {
             'service': order.service,
@@ -66,14 +74,14 @@
         data = json.dumps(body).encode()
         headers = [
             ('Host', self.address),
-            (names.DUTY_HOLDER, self.holder),
-            (names.FENCING_TOKEN, str(term.fencing)),
+            (header_names.DUTY_HOLDER, self.holder),
+            (header_names.FENCING_TOKEN, str(term.fencing)),
             ('Content-Type', 'application/json'),
             ('Content-Length', str(len(data))),
         ]
         try:
-            call_ms = min(CALL_MS, term.left_ms())
-            async with asyncio.timeout(to_seconds(call_ms)):
+            timeout_ms = min(CALL_TIMEOUT_MS, term.left_ms())
+            async with asyncio.timeout(to_seconds(timeout_ms)):
                 response = await self.pool.fetch(
                     'POST', path, headers, data, MAX_BODY_BYTES, term.check
                 )
--- a/pearrun/platform/endpointlist.py
+++ b/pearrun/platform/endpointlist.py
@@ -1,4 +1,4 @@
-"""The list of endpoints, as they write it to the store."""
+"""The list of endpoints, read from the entries they write to the store."""
 
 import asyncio
 
@@ -6,28 +6,30 @@
 
 from pearrun.clock import to_seconds
 from pearrun.platform import decoding
-from pearrun.platform.following import SharedFollower
+from pearrun.platform.followers import SharedFollower
 from pearrun.states import EndpointState
 
-# Longest wait of a read for endpoints, as a part of the time in which a
-# drain must be acted on.  Two reads, the pauses between them and a round of
-# reports fit into the time after which the other hosts read for themselves.
-ENDPOINT_WAIT_SHARE = 0.25
-# A host reads the endpoints itself once its list is older than this part of
-# the time in which a drain must be acted on; the rest is for that read, and
-# for another one if it hangs.
-OLDEST_LIST_SHARE = 0.8
-# Pause between reads of the endpoints' heartbeats, which come many
-# times a second: a drain has to be acted on within 2 s.
-ENDPOINT_PAUSE_MS = 150
-# The same in a large fleet, whose hubs read: half of the calls, and a drain
-# is still known everywhere within a second.
-HUB_PAUSE_MS = 300
-# Entries that lapsed while the store was away come back within 2 s of
-# its return; until then an endpoint that was removed may be used if there
-# is no other, but for this part of the time in which a leaving endpoint
-# must stop getting work at the most.
-RETURN_SHARE = 0.75
+# Long-poll wait of a read, as a fraction of the time within which a drain
+# must be acted on.  Two reads, the pauses between them and one round of
+# reports must fit into the maximum list age below, after which the other
+# hosts read the store themselves.
+POLL_WAIT_FRACTION = 0.25
+# Maximum age of the list before a host reads the store itself, as a fraction
+# of the time within which a drain must be acted on.  The remainder is for that
+# read, and for a second one if the first hangs.
+MAX_LIST_AGE_FRACTION = 0.8
+# Pause between reads.  Without it, heartbeats, which endpoints write many
+# times a second, would end each wait at once.  It has to be short, since a
+# drain must be acted on within 2 s.
+READ_PAUSE_MS = 150
+# The same in a large fleet, where hubs read the store: this halves the number
+# of calls, and a drain still reaches all hosts within a second.
+HUB_READ_PAUSE_MS = 300
+# Endpoint entries that expired during a store outage are written again within
+# 2 s of its recovery.  Until then, an endpoint whose entry was removed may be
+# used if no other is available, but only for this fraction of the time within
+# which a draining endpoint must stop receiving work.
+REMOVAL_GRACE_FRACTION = 0.75
 
 
 class EndpointFollower(SharedFollower):
@@ -38,63 +40,70 @@
             host,
             store,
             host.feed,
-            int(host.settings.drain_ms * ENDPOINT_WAIT_SHARE),
-            ENDPOINT_PAUSE_MS,
+            int(host.settings.drain_ms * POLL_WAIT_FRACTION),
+            READ_PAUSE_MS,
         )
         self.removals = {}
-        self.return_ms = int(host.settings.drain_ms * RETURN_SHARE)
-        self.oldest_list_ms = int(host.settings.drain_ms * OLDEST_LIST_SHARE)
+        self.removal_grace_ms = int(
+            host.settings.drain_ms * REMOVAL_GRACE_FRACTION
+        )
+        self.max_list_age_ms = int(
+            host.settings.drain_ms * MAX_LIST_AGE_FRACTION
+        )
 
-    def due_ms(self):
-        """Return when the list is too old, whoever read it.
+    def get_read_deadline_ms(self):
+        """Return when the list reaches its maximum age, whoever read it.
 
-        What counts is its age, not the silence of the host that reads: a
-        read that missed a drain is news too, and its wait and this host's
-        would add up.
+        The limit applies to the age of the data, not to the time since the
+        reading host was last heard: a forwarded read that missed a drain
+        would restart that timer, and its long-poll wait would add to the
+        delay.
         """
-        return self.host.fleet.listed_ms + self.oldest_list_ms
+        return self.host.fleet.listed_ms + self.max_list_age_ms
 
-    def reading_pause_ms(self):
+    def get_read_pause_ms(self):
         """See :class:`SharedFollower`."""
-        return HUB_PAUSE_MS if self.feed.through_hubs else ENDPOINT_PAUSE_MS
+        return HUB_READ_PAUSE_MS if self.feed.through_hubs else READ_PAUSE_MS
 
-    def take_all(self, records, asked_ms):
+    def apply_snapshot(self, records, read_start_ms):
         """See :class:`Follower`."""
         listed = {record.key for record in records}
         self.host.crashes.note_missed()
         for record in records:
-            self._put(record)
+            self._handle_put(record)
         for endpoint in list(self.host.fleet.endpoints.values()):
             if endpoint.record.name not in listed:
-                self._remove(endpoint.record.name)
-        self._confirm(asked_ms)
+                self._handle_removal(endpoint.record.name)
+        self._record_list_read(read_start_ms)
 
-    def take_changes(self, records, asked_ms):
+    def apply_changes(self, records, read_start_ms):
         """See :class:`Follower`."""
-        super().take_changes(records, asked_ms)
+        super().apply_changes(records, read_start_ms)
         if self.host.awaits_heartbeats():
-            self._note_heartbeats(records, asked_ms)
-        self._confirm(asked_ms)
+            self._note_heartbeats(records, read_start_ms)
+        self._record_list_read(read_start_ms)
 
-    def _note_heartbeats(self, records, asked_ms):
+    def _note_heartbeats(self, records, read_start_ms):
         for record in records:
             endpoint = self.host.fleet.find(record.key)
             if endpoint is not None and record.value is not None:
-                self.host.note_heartbeat(endpoint.id, asked_ms)
+                self.host.note_heartbeat(endpoint.id, read_start_ms)
 
-    def _confirm(self, asked_ms):
+    def _record_list_read(self, read_start_ms):
         fleet = self.host.fleet
-        fleet.listed_ms = max(fleet.listed_ms or 0, asked_ms)
+        fleet.listed_ms = max(fleet.listed_ms or 0, read_start_ms)
         self.host.config.confirm_alive(self.host.clock.now())
 
-    def _put(self, record):
-        entry = self.decode(decoding.decode_endpoint, record.key, record.value)
+    def _handle_put(self, record):
+        entry = self.decode_or_skip(
+            decoding.decode_endpoint, record.key, record.value
+        )
         if entry is None or self.host.fleet.is_outdated(entry):
             return
-        known = self.host.fleet.find(entry.name)
-        if known is not None and known.id != entry.id:
-            self._cancel_removal(known.id)
-            self.host.drop_endpoint(known, 'started again')
+        previous = self.host.fleet.find(entry.name)
+        if previous is not None and previous.id != entry.id:
+            self._cancel_removal(previous.id)
+            self.host.drop_endpoint(previous, 'restarted')
         self._cancel_removal(entry.id)
         if entry.state is not EndpointState.LIVE:
             self.host.crashes.note_leaving(entry.id)
@@ -116,36 +125,42 @@
         if timer is not None:
             timer.cancel()
 
-    def _remove(self, name):
+    def _handle_removal(self, name):
         endpoint = self.host.fleet.find(name)
         if endpoint is None or endpoint.id in self.removals:
             return
-        left_ms = self._return_left_ms()
+        left_ms = self._get_remaining_grace_ms()
         if not left_ms:
             self.host.drop_endpoint(endpoint, 'entry removed')
             return
         endpoint.pause.until_ms = self.host.clock.now() + left_ms
         loop = asyncio.get_running_loop()
         self.removals[endpoint.id] = loop.call_later(
-            to_seconds(left_ms), self._remove_late, endpoint.id
+            to_seconds(left_ms), self._remove_after_grace, endpoint.id
         )
 
-    def _remove_late(self, endpoint_id):
+    def _remove_after_grace(self, endpoint_id):
         self.removals.pop(endpoint_id, None)
         endpoint = self.host.fleet.endpoints.get(endpoint_id)
         if endpoint is not None:
-            self.host.drop_endpoint(endpoint, 'entry not back after outage')
+            self.host.drop_endpoint(
+                endpoint, 'entry not restored after outage'
+            )
 
-    def _return_left_ms(self):
-        """Return how long entries that lapsed may still come back.
+    def _get_remaining_grace_ms(self):
+        """Return the rest of the grace period for expired entries.
 
-        It counts from the store's return, however late a removal is heard
-        of: the endpoint may have left by itself.
+        The period starts at the store's recovery, even if the removal is
+        learnt of later: the endpoint may have left on its own.
 
-        :returns: milliseconds; 0 when the store has not been away lately.
+        :returns: milliseconds; 0 if there was no recent store outage.
         """
         if not self.reachable:
-            return self.return_ms
-        if self.regained_ms is None:
+            return self.removal_grace_ms
+        if self.recovered_at_ms is None:
             return 0
-        return max(0, self.return_ms - self.host.clock.since(self.regained_ms))
+        return max(
+            0,
+            self.removal_grace_ms
+            - self.host.clock.since(self.recovered_at_ms),
+        )
--- a/pearrun/platform/following.py
+++ b/pearrun/platform/followers.py
@@ -1,4 +1,4 @@
-"""Following topics of the store; the operator's configuration."""
+"""Followers of store topics, and the operator's configuration."""
 
 import asyncio
 import enum
@@ -14,15 +14,15 @@
 
 CONFIG_TOPIC = 'op'
 CONFIG_KEY = 'config'
-# Longest wait of a read: a call each in this time.  A read that hangs on a
-# connection that went silent, or missed a record, is made up for by the other
-# hosts, which pass on a newer configuration within 1.5 s.
-WAIT_MS = 25_000
-# The same of a host that has no others, as a part of the time in which a
-# configuration must be in force.
-LONE_WAIT_SHARE = 0.4
-# How often a host that is told by another one looks whether it still is.
-FOLLOWED_MS = 2000
+# Long-poll wait of a read, and so the interval of calls while nothing changes.
+# If a read hangs on a dead connection or misses a record, the other hosts
+# compensate: they forward a newer configuration within 1.5 s.
+LONG_POLL_MS = 25_000
+# The same while there is only one host, as a fraction of the time within which
+# a configuration must be in force.
+SINGLE_HOST_POLL_FRACTION = 0.4
+# How often a host checks whether another host still reads on its behalf.
+FEED_POLL_MS = 2000
 RETRY_BASE_MS = 50
 RETRY_CAP_MS = 500
 
@@ -30,14 +30,14 @@
 class Follower:
     """Follows one keyed topic of the store.
 
-    :param host: shared objects of this host.
+    :param host: the :class:`HostContext`.
     :param store: the :class:`StoreClient`.
     :param topic: the topic's name.
-    :param wait_ms: longest wait of one read.
-    :param pause_ms: pause between two reads.
+    :param wait_ms: long-poll wait of a read.
+    :param pause_ms: pause between reads.
     """
 
-    def __init__(self, host, store, topic, wait_ms=WAIT_MS, pause_ms=0):
+    def __init__(self, host, store, topic, wait_ms=LONG_POLL_MS, pause_ms=0):
         self.wait_ms = wait_ms
         self.host = host
         self.store = store
@@ -45,16 +45,16 @@
         self.pause_ms = pause_ms
         self.position = None
         self.reachable = True
-        self.regained_ms = None
+        self.recovered_at_ms = None
 
     async def run(self):
-        """Follow the topic for the process's whole life."""
+        """Follow the topic for the lifetime of the process."""
         backoff = Backoff(RETRY_BASE_MS, RETRY_CAP_MS)
         while True:
             try:
                 await self._read_once()
                 backoff.tries = 0
-                self._note_reachable()
+                self._mark_reachable()
                 await asyncio.sleep(to_seconds(self.pause_ms))
             except exceptions.ExpiredOffsetError as exc:
                 logger.bind(topic=self.topic, position=self.position).info(
@@ -62,57 +62,63 @@
                 )
                 self.position = None
             except exceptions.PearrunError as exc:
-                self._note_unreachable(exc)
+                self._mark_unreachable(exc)
                 await backoff.pause()
 
     async def _read_once(self):
-        """Read all newest records, or wait for changes once."""
+        """Read a snapshot if there is none yet, else changes, once."""
         if self.position is None:
             await self._read_newest()
             return
         await self._read_changes(self.wait_ms)
 
     async def _read_newest(self):
-        """Read the newest record of every key."""
-        asked_ms = self.host.clock.now()
-        records, self.position = await self.store.newest(self.topic)
-        self.take_all(records, asked_ms)
+        """Read a snapshot: the newest record of every key."""
+        read_start_ms = self.host.clock.now()
+        records, self.position = await self.store.read_newest(self.topic)
+        self.apply_snapshot(records, read_start_ms)
 
     async def _read_changes(self, wait_ms):
-        """Read what was written since the last read.
+        """Read the records written since the last read.
 
-        :param wait_ms: how long to wait while there is nothing.
+        :param wait_ms: how long to wait while there are none.
         :returns: the records.
         """
-        asked_ms = self.host.clock.now()
-        records, self.position = await self.store.follow(
+        read_start_ms = self.host.clock.now()
+        records, self.position = await self.store.read_changes(
             self.topic, self.position, wait_ms
         )
-        self.take_changes(records, asked_ms)
+        self.apply_changes(records, read_start_ms)
         return records
 
-    def take_all(self, records, asked_ms):
-        """Take the newest record of every key."""
+    def apply_snapshot(self, records, read_start_ms):
+        """Apply the newest record of every key.
+
+        :param read_start_ms: when the read was sent, in monotonic time.
+        """
         raise NotImplementedError
 
-    def take_changes(self, records, asked_ms):
-        """Take records written since the last read, one by one."""
+    def apply_changes(self, records, read_start_ms):
+        """Apply records written since the last read, in order.
+
+        :param read_start_ms: when the read was sent, in monotonic time.
+        """
         for record in records:
             if record.value is None:
-                self._remove(record.key)
+                self._handle_removal(record.key)
             else:
-                self._put(record)
+                self._handle_put(record)
 
-    def _put(self, record):
-        """Take the newest record of a key."""
+    def _handle_put(self, record):
+        """Handle a new record of a key."""
         raise NotImplementedError
 
-    def _remove(self, key):
-        """Take it that a key was removed."""
+    def _handle_removal(self, key):
+        """Handle the removal of a key."""
         raise NotImplementedError
 
-    def decode(self, decoder, *args):
-        """Decode a record; one that is malformed is logged and left aside.
+    def decode_or_skip(self, decoder, *args):
+        """Decode a record; log a malformed one and skip it.
 
         :param decoder: called with ``args``; raises
             :class:`WireFormatError`.
@@ -122,17 +128,17 @@
             return decoder(*args)
         except exceptions.WireFormatError as exc:
             logger.bind(topic=self.topic, code=exc.code).error(
-                f'record left aside: {exc.message}'
+                f'malformed record skipped: {exc.message}'
             )
             return None
 
-    def _note_reachable(self):
+    def _mark_reachable(self):
         if not self.reachable:
             self.reachable = True
-            self.regained_ms = self.host.clock.now()
+            self.recovered_at_ms = self.host.clock.now()
             logger.bind(topic=self.topic).info('store regained')
 
-    def _note_unreachable(self, exc):
+    def _mark_unreachable(self, exc):
         if self.reachable:
             self.reachable = False
             logger.bind(topic=self.topic, code=exc.code).warning(
@@ -141,14 +147,14 @@
 
 
 class Source(enum.Enum):
-    """Who told this host of a change."""
+    """Where this host learnt of a change."""
 
     STORE = 'store'
     PEER = 'peer'
 
 
 class SharedFollower(Follower):
-    """Follows a topic that one host of a zone reads for the others.
+    """Follows a topic that one host of a zone reads on behalf of the others.
 
     :param feed: the :class:`Feed` of the topic.
     """
@@ -161,79 +167,84 @@
     async def _read_once(self):
         self.source = Source.STORE
         if self.position is None or not self.host.feed.followed:
-            self.pause_ms = self.reading_pause_ms()
+            self.pause_ms = self.get_read_pause_ms()
             await super()._read_once()
             return
         self.pause_ms = 0
         self.feed.repeat(None)
-        due_ms = self.due_ms()
-        until_ms = min(due_ms, self.host.clock.now() + FOLLOWED_MS)
+        deadline_ms = self.get_read_deadline_ms()
+        until_ms = min(deadline_ms, self.host.clock.now() + FEED_POLL_MS)
         changes = await self.feed.wait(self.position, until_ms)
         if changes is not None:
-            self._take_passed_on(changes)
-        elif self.feed.has_gap or self.host.clock.now() >= due_ms:
-            # Only a read that does not wait misses nothing.
+            self._apply_forwarded(changes)
+        elif self.feed.has_gap or self.host.clock.now() >= deadline_ms:
+            # Not a long poll, which may miss a record appended as it arrives.
             await self._read_changes(wait_ms=0)
 
     async def _read_changes(self, wait_ms):
-        """Read the store, also for the other hosts of the zone."""
+        """Read the store and publish the result to the zone's other hosts."""
         start = self.position
-        asked_ms = self.host.clock.now()
+        read_start_ms = self.host.clock.now()
         records = await super()._read_changes(wait_ms)
         pairs = tuple((record.key, record.value) for record in records)
-        changes = Changes(start, self.position, pairs, asked_ms)
+        changes = Changes(start, self.position, pairs, read_start_ms)
         self.feed.publish(changes)
         self.feed.repeat(changes)
 
-    def _take_passed_on(self, changes):
-        """Take :class:`Changes` that another host read."""
+    def _apply_forwarded(self, changes):
+        """Apply :class:`Changes` that another host read and forwarded."""
         self.position = changes.next
         self.source = Source.PEER
         records = [KeyedRecord(key, value) for key, value in changes.records]
-        self.take_changes(records, changes.asked_ms)
+        self.apply_changes(records, changes.asked_ms)
 
-    def due_ms(self):
-        """Return until when to wait for another host's reads."""
+    def get_read_deadline_ms(self):
+        """Return when this host must read the store itself.
+
+        :returns: monotonic time in milliseconds.
+        """
         raise NotImplementedError
 
-    def reading_pause_ms(self):
-        """Return the pause between this host's own reads."""
+    def get_read_pause_ms(self):
+        """Return the pause between this host's own reads, in ms."""
         raise NotImplementedError
 
 
 class ConfigFollower(Follower):
-    """Brings the operator's configuration into force."""
+    """Follows the operator's configuration and brings it into force."""
 
     def __init__(self, host, store):
         super().__init__(host, store, CONFIG_TOPIC)
-        self.lone_wait_ms = int(host.settings.config_ms * LONE_WAIT_SHARE)
+        self.single_host_poll_ms = int(
+            host.settings.config_ms * SINGLE_HOST_POLL_FRACTION
+        )
 
     async def _read_once(self):
         alone = self.host.count_hosts() <= 1
-        self.wait_ms = self.lone_wait_ms if alone else WAIT_MS
+        self.wait_ms = self.single_host_poll_ms if alone else LONG_POLL_MS
         await super()._read_once()
 
-    def _note_reachable(self):
-        super()._note_reachable()
+    def _mark_reachable(self):
+        super()._mark_reachable()
         self.host.config.followed = True
 
-    def _note_unreachable(self, exc):
-        super()._note_unreachable(exc)
+    def _mark_unreachable(self, exc):
+        super()._mark_unreachable(exc)
         self.host.config.followed = False
 
-    def take_all(self, records, asked_ms):
+    def apply_snapshot(self, records, read_start_ms):
         """See :class:`Follower`."""
-        self.take_changes(records, asked_ms)
+        self.apply_changes(records, read_start_ms)
 
-    def take_changes(self, records, asked_ms):
+    def apply_changes(self, records, read_start_ms):
         """See :class:`Follower`."""
         for record in records:
             if record.key == CONFIG_KEY and record.value is not None:
-                config = self.decode(
+                config = self.decode_or_skip(
                     decoding.decode_configuration, record.value
                 )
                 if config is not None:
                     self.host.config.offer(config, 'store')
-        # A read that waited says that nothing came up to its end.
-        newest_ms = asked_ms if records else self.host.clock.now()
+        # An empty read confirms that nothing was written until it ended.
+        newest_ms = read_start_ms if records else self.host.clock.now()
         self.host.config.confirm(newest_ms)
--- a/pearrun/platform/front.py
+++ b/pearrun/platform/frontend.py
@@ -1,20 +1,21 @@
-"""The address that callers reach, and the one that reports readiness."""
+"""HTTP handlers for callers' requests and for the readiness check."""
 
 from loguru import logger
 
 from pearrun import exceptions
 from pearrun.platform import codec
 
-# How soon a caller may come back to a host that has just started and
-# knows no configuration: about the time its first reads take.
-STARTING_RETURN_S = 0.4
-# Beyond this age of the configuration, a route or key that it lacks may
-# have been added since; the call is refused so that it goes elsewhere.
-CONFIG_TRUSTED_MS = 4000
+# Retry-After of a host that has not loaded a configuration yet: roughly the
+# duration of its first reads from the store.
+STARTUP_RETRY_AFTER_S = 0.4
+# If the configuration is older than this, an unknown route or key may have
+# been added since; the call is rejected as retryable, so that the caller
+# tries another host.
+MAX_TRUSTED_CONFIG_AGE_MS = 4000
 
 
-class Front:
-    """Answers callers' requests.
+class Frontend:
+    """Handles callers' requests.
 
     :param host: shared objects of this host.
     :param relay: the :class:`Relay`.
@@ -25,7 +26,7 @@
         self.relay = relay
 
     async def handle(self, request, caller):
-        """Serve one request; see :class:`Server`."""
+        """Handle one request; see :class:`Server`."""
         try:
             call = self._decode(request)
         except exceptions.PearrunError as exc:
@@ -37,7 +38,7 @@
         config = self.host.config.current
         if config is None:
             raise exceptions.NoConfigurationError(
-                'this host knows no configuration yet', STARTING_RETURN_S
+                'this host has no configuration yet', STARTUP_RETRY_AFTER_S
             )
         try:
             return codec.decode_call(request, config)
@@ -45,11 +46,11 @@
             exceptions.UnknownRouteError,
             exceptions.UnknownKeyError,
         ) as exc:
-            if self.host.config.age_ms() <= CONFIG_TRUSTED_MS:
+            if self.host.config.age_ms() <= MAX_TRUSTED_CONFIG_AGE_MS:
                 raise
             raise exceptions.NoConfigurationError(
-                f'{exc.message}, but the configuration may be old',
-                STARTING_RETURN_S,
+                f'{exc.message}, but the configuration may be stale',
+                STARTUP_RETRY_AFTER_S,
             ) from exc
 
     async def _reply_error(self, request, caller, error):
@@ -65,13 +66,13 @@
         await caller.reply(error.http_status, headers, body)
 
 
-class Readiness:
-    """Answers the platform's question whether this host takes callers."""
+class ReadinessHandler:
+    """Handles the platform's readiness checks."""
 
     def __init__(self, host):
         self.host = host
 
     async def handle(self, request, caller):
-        """Answer 200 while this host is ready, 503 otherwise."""
+        """Respond with 200 while this host is ready, 503 otherwise."""
         status = 200 if self.host.is_ready() else 503
         await caller.reply(status, [(b'Content-Type', b'text/plain')], b'')
--- a/pearrun/platform/headers.py
+++ b/pearrun/platform/headers.py
@@ -1,14 +1,17 @@
-"""Header names of the platform's wire, in lower case."""
+"""Header names of the platform's protocol.
+
+Names that requests are searched for are in lower case.
+"""
 
 ATTEMPT_ID = b'pearrun-attempt-id'
 DEADLINE_MS = b'pearrun-deadline-ms'
 LAST_EVENT_ID = b'last-event-id'
-# The endpoint's signature of its answer.
+# The endpoint's signature over its response.
 SEAL = b'pearrun-runner-seal'
 CUSTOMER = b'pearrun-tenant'
 EXPECTED_ENDPOINT = b'pearrun-expect-runner'
 NOT_RUN = b'pearrun-not-run'
-# Two numbers: tokens of the prompt, most tokens of the answer.
+# Prompt tokens and maximum output tokens, separated by a comma.
 TOKEN_COUNT = b'pearrun-token-count'
 PROMPT_PARTS = b'pearrun-prompt-prefix'
 LENGTH_HINT = b'pearrun-length-hint'
@@ -18,9 +21,9 @@
 DUTY_HOLDER = 'Pearrun-Duty-Holder'
 FENCING_TOKEN = 'Pearrun-Fence-Token'
 
-# Headers that only this system sets towards endpoints; what a caller
-# sent under these names is dropped.
-OWN = frozenset(
+# Headers of requests to endpoints that only this host may set, or that are
+# meant for this host; values sent by a caller are dropped.
+RESERVED = frozenset(
     (
         CUSTOMER,
         EXPECTED_ENDPOINT,
--- a/pearrun/platform/leaselog.py
+++ b/pearrun/platform/leaselog.py
@@ -1,4 +1,4 @@
-"""The lease's log on the platform's store."""
+"""The log of the lease on the duties, kept in the platform's store."""
 
 import asyncio
 
@@ -13,24 +13,26 @@
 
 
 class LeaseLog:
-    """Reads and writes the log; keeps a :class:`LeaseView` up to date.
+    """Reads and writes the log and keeps a :class:`LeaseView` up to date.
 
     :param store: the :class:`StoreClient`.
     :param view: the :class:`LeaseView`.
-    :param clock: its ``boot`` time counts suspended time.
+    :param clock: the :class:`Clock`; its ``boot`` time is used, since a lease
+        also runs out while the host is suspended.
     """
 
     def __init__(self, store, view, clock):
         self.store = store
         self.view = view
         self.clock = clock
-        # Several duties write; each record follows the one read last.
+        # Several duties write concurrently, and each write is conditional on
+        # the offset read last.
         self._lock = asyncio.Lock()
 
     async def read(self):
-        """Read all records since the last read.
+        """Read and apply all records written since the last read.
 
-        :raises StoreError: the store did not answer.
+        :raises StoreError: the store did not respond.
         """
         async with self._lock:
             start = self.view.end or 0
@@ -46,16 +48,17 @@
             self.view.note_end(batch.next, self.clock.boot())
 
     async def write(self, record):
-        """Append a record where the log was read up to.
+        """Append a record, provided that the log still ends where it was read.
 
-        :raises StoreConflictError: another host wrote since.
-        :raises StoreError: no answer; the record may be written.
+        :raises StoreConflictError: a record was written since.
+        :raises StoreError: no response; the record may have been written.
         """
-        decided_at = self.view.end
+        expected_end = self.view.end
         async with self._lock:
-            if self.view.end != decided_at:
+            if self.view.end != expected_end:
                 raise exceptions.StoreConflictError(
-                    'log has grown meanwhile', self.view.end
+                    'log has grown since the write was requested',
+                    self.view.end,
                 )
             sent_ms = self.clock.boot()
             offset = await self.store.append(
@@ -74,7 +77,7 @@
 def decode(data):
     """Decode a :class:`LeaseRecord`.
 
-    :raises WireFormatError: it is none.
+    :raises WireFormatError: the data is malformed.
     """
     try:
         kind, run, window, counts = cbor.load(data, 'lease record')
--- a/pearrun/platform/membership.py
+++ b/pearrun/platform/membership.py
@@ -1,117 +1,126 @@
-"""The list of entry hosts on the platform's store."""
+"""The list of entry hosts, kept in the platform's store."""
 
 import cbor2
 from loguru import logger
 
 from pearrun import exceptions
-from pearrun.platform.following import SharedFollower
-from pearrun.platform.following import WAIT_MS
+from pearrun.platform.followers import LONG_POLL_MS
+from pearrun.platform.followers import SharedFollower
 from pearrun.shared import cbor
 from pearrun.shared.members import Member
 from pearrun.shared.members import MEMBER_TOPIC
 
-# Pause between reads: hosts that start together announce themselves one
-# after the other, and each change would wake the host that reads.
-PAUSE_MS = 300
-# A host that is told by another one reads the list itself once it is this
-# old: the other one's reads wait for WAIT_MS at the most.
-OLDEST_LIST_MS = WAIT_MS + 5000
-# It does so sooner, and this often, while nobody passes anything on: the
-# list of endpoints is passed on every second.
-ALONE_PAUSE_MS = 3000
-# How long a host that ends waits for the removal of its entry: less than
-# the time it keeps free before the kill.
-LEAVE_MS = 400
-# A host that nobody has heard for this long is taken off the list, so
-# that it is dialled and counted no more.  Longer than the cuts that hosts
-# go on serving in: a cut-off host's use of the quotas is remembered only
-# while it is listed.  One that still lives lists itself again.
-SILENT_MS = 600_000
+# Pause between reads.  Hosts that start together register one after the other,
+# and without the pause each entry would cost a read of its own.
+READ_PAUSE_MS = 300
+# Maximum age of the list while another host reads it and forwards changes,
+# before this host reads the store itself.  The other host's reads wait up to
+# LONG_POLL_MS.
+MAX_LIST_AGE_MS = LONG_POLL_MS + 5000
+# The same while nothing is forwarded: the list of endpoints, if forwarded at
+# all, arrives every second.
+LOCAL_READ_INTERVAL_MS = 3000
+# Timeout of the removal of a host's own entry during its shutdown; less than
+# the margin that the daemon reserves before the kill.
+DEREGISTER_TIMEOUT_MS = 400
+# A host that has not been heard for this long is removed from the list, so
+# that hosts stop connecting to it and counting it.  This exceeds the network
+# partitions during which hosts continue to serve: the quota usage of a
+# partitioned host is remembered only while it is listed.  A host that is still
+# alive registers again.
+STALE_HOST_MS = 600_000
 
 
 class MemberFollower(SharedFollower):
-    """Keeps the list of hosts, and this host on it.
+    """Follows the list of hosts and keeps this host registered in it.
 
-    :param own: this host's :class:`Member`.
-    :param may_tidy: says whether this host removes others' old entries.
+    :param own_member: this host's :class:`Member`.
+    :param may_remove_stale: returns whether this host removes stale
+        entries of other hosts.
     """
 
-    def __init__(self, host, store, own, may_tidy):
-        super().__init__(host, store, host.member_feed, WAIT_MS, PAUSE_MS)
-        self.own = own
-        self.may_tidy = may_tidy
-        self.announced = False
+    def __init__(self, host, store, own_member, may_remove_stale):
+        super().__init__(
+            host, store, host.member_feed, LONG_POLL_MS, READ_PAUSE_MS
+        )
+        self.own_member = own_member
+        self.may_remove_stale = may_remove_stale
+        self.registered = False
         self.leaving = False
-        self.listed_ms = 0
+        self.list_read_ms = 0
 
-    async def leave(self):
-        """Remove this host's entry; once, since it is about to end."""
+    async def deregister(self):
+        """Remove this host's entry; tried once, as the process is ending."""
         self.leaving = True
         try:
-            await self.store.put(MEMBER_TOPIC, self.own.name, None, LEAVE_MS)
+            await self.store.put(
+                MEMBER_TOPIC, self.own_member.name, None, DEREGISTER_TIMEOUT_MS
+            )
         except exceptions.PearrunError as exc:
             logger.bind(code=exc.code).info(
                 f'own entry not removed: {exc.message}'
             )
 
     async def _read_once(self):
-        if not self.announced and not self.leaving:
-            await self.store.put(MEMBER_TOPIC, self.own.name, encode(self.own))
-            self.announced = True
-        if self.may_tidy():
-            await self._remove_silent()
+        if not self.registered and not self.leaving:
+            await self.store.put(
+                MEMBER_TOPIC, self.own_member.name, encode(self.own_member)
+            )
+            self.registered = True
+        if self.may_remove_stale():
+            await self._remove_stale()
         await super()._read_once()
 
-    async def _remove_silent(self):
-        """Take hosts off the list that ended without doing so."""
-        for name in self.host.members.list_silent(SILENT_MS):
-            logger.bind(host=name, silent_ms=SILENT_MS).warning(
-                'silent host taken off the list'
+    async def _remove_stale(self):
+        """Remove entries of hosts that ended without deregistering."""
+        for name in self.host.members.list_silent(STALE_HOST_MS):
+            logger.bind(host=name, silent_ms=STALE_HOST_MS).warning(
+                'silent host removed from the list'
             )
             await self.store.put(MEMBER_TOPIC, name, None)
 
-    def due_ms(self):
+    def get_read_deadline_ms(self):
         """See :class:`SharedFollower`."""
         if self.host.feed.is_heard():
-            return self.listed_ms + OLDEST_LIST_MS
-        return self.listed_ms + ALONE_PAUSE_MS
+            return self.list_read_ms + MAX_LIST_AGE_MS
+        return self.list_read_ms + LOCAL_READ_INTERVAL_MS
 
-    def reading_pause_ms(self):
+    def get_read_pause_ms(self):
         """See :class:`SharedFollower`."""
-        return PAUSE_MS
+        return READ_PAUSE_MS
 
-    def take_changes(self, records, asked_ms):
+    def apply_changes(self, records, read_start_ms):
         """See :class:`Follower`."""
-        super().take_changes(records, asked_ms)
-        self.listed_ms = max(self.listed_ms, asked_ms)
+        super().apply_changes(records, read_start_ms)
+        self.list_read_ms = max(self.list_read_ms, read_start_ms)
 
-    def take_all(self, records, asked_ms):
+    def apply_snapshot(self, records, read_start_ms):
         """See :class:`Follower`."""
-        self.announced = False
+        self.registered = False
         listed = {record.key for record in records}
         for name in set(self.host.members.members) - listed:
-            self._remove(name)
-        self.take_changes(records, asked_ms)
+            self._handle_removal(name)
+        self.apply_changes(records, read_start_ms)
         self.host.members.listed = True
 
-    def _put(self, record):
-        member = self.decode(decode, record.key, record.value)
+    def _handle_put(self, record):
+        member = self.decode_or_skip(decode, record.key, record.value)
         if member is None:
             return
-        if member.name == self.own.name:
-            # The store may do a write of this host's last run late.
-            self.announced = member == self.own
+        if member.name == self.own_member.name:
+            # The store may execute a delayed write of this host's last run.
+            self.registered = member == self.own_member
         self.host.members.put(member)
         logger.bind(
             host=member.name, address=member.address, zone=member.zone
         ).info('host listed')
 
-    def _remove(self, name):
-        if name == self.own.name:
-            self.announced = False
+    def _handle_removal(self, name):
+        if name == self.own_member.name:
+            self.registered = False
         if self.host.members.remove(name) is not None:
             self.host.forget_host(name)
-            logger.bind(host=name).info('host left')
+            logger.bind(host=name).info('host removed')
 
 
 def encode(member):
@@ -124,7 +133,7 @@
 def decode(name, data):
     """Decode a :class:`Member`.
 
-    :raises WireFormatError: it is none.
+    :raises WireFormatError: the data is malformed.
     """
     try:
         address, zone, started_ms, link_mbps = cbor.load(data, f'host {name}')
--- a/pearrun/platform/program.py
+++ b/pearrun/platform/program.py
@@ -1,4 +1,4 @@
-"""The entry host's program, from its settings file to its end."""
+"""Main program of the entry host."""
 
 import gc
 import sys
@@ -12,13 +12,13 @@
 
 
 def run():
-    """Read the settings and serve until told to stop."""
+    """Read the settings and serve until the stop signal."""
     try:
         settings = settings_module.load()
     except exceptions.SettingsError as exc:
         sys.exit(f'error {exc.code}: {exc.message}')
     writer = logs.configure_stdout(settings.name, settings.zone)
-    # Nothing loaded at the start becomes garbage; leaving it out of the
-    # collector's passes saves their time.
+    # Objects created during startup live as long as the process; excluding
+    # them from garbage collection makes collections faster.
     gc.freeze()
     uvloop.run(Daemon(settings, writer).run())
--- a/pearrun/platform/quarantinelog.py
+++ b/pearrun/platform/quarantinelog.py
@@ -1,4 +1,4 @@
-"""Quarantined requests on the platform's store, where they outlast hosts."""
+"""Quarantined requests in the platform's store, where they outlive hosts."""
 
 import asyncio
 
@@ -7,81 +7,83 @@
 
 from pearrun import exceptions
 from pearrun.clock import to_seconds
-from pearrun.platform.following import FOLLOWED_MS
-from pearrun.platform.following import Follower
+from pearrun.platform.followers import FEED_POLL_MS
+from pearrun.platform.followers import Follower
 from pearrun.shared import cbor
 from pearrun.shared import suspects
 
 TOPIC = 'quarantine'
-# Pause between two reads: after a start, until it is known who reads.
-PAUSE_MS = 1000
-# How often it is looked for requests to save.
-SAVE_MS = 250
-SAVE_AGAIN_MS = 1000
+# Pause between reads; applies until another host reads for the zone.
+READ_PAUSE_MS = 1000
+# How often unsaved requests are looked for.
+SAVE_INTERVAL_MS = 250
+SAVE_RETRY_MS = 1000
 
 
 class QuarantineFollower(Follower):
-    """Reads what was quarantined, and saves what was found here.
+    """Reads quarantined requests, and saves those detected on this host.
 
-    Every host reads all once; then one host of a zone follows the topic and
-    tells the others what it reads.
+    Every host reads a snapshot at its start.  After that, one host of a zone
+    follows the topic and forwards what it reads to the others.
     """
 
     def __init__(self, host, store):
-        super().__init__(host, store, TOPIC, pause_ms=PAUSE_MS)
+        super().__init__(host, store, TOPIC, pause_ms=READ_PAUSE_MS)
         self.quarantine = host.quarantine
-        self.stored = set()
+        self.stored_keys = set()
 
     async def run(self):
         """See :class:`Follower`."""
         async with asyncio.TaskGroup() as tasks:
             tasks.create_task(super().run())
-            tasks.create_task(self._save_often())
+            tasks.create_task(self._save_periodically())
 
     async def _read_once(self):
-        if self.position is not None and self._is_told():
-            # Not followed on: all is read again when nobody tells.
+        if self.position is not None and self._has_remote_reader():
+            # Changes are not followed meanwhile, so a new snapshot is needed
+            # once no other host forwards them.
             self.position = None
-            await self._wait_until_untold()
+            await self._wait_for_reader_loss()
         await super()._read_once()
-        await self._remove_old()
+        await self._remove_expired()
 
-    def _is_told(self):
-        """Say whether another host of the zone reads and is heard."""
+    def _has_remote_reader(self):
+        """Return whether another host of the zone reads and is heard."""
         feed = self.host.feed
         return feed.followed and feed.is_heard()
 
-    async def _wait_until_untold(self):
-        while self._is_told():
-            await asyncio.sleep(to_seconds(FOLLOWED_MS))
+    async def _wait_for_reader_loss(self):
+        while self._has_remote_reader():
+            await asyncio.sleep(to_seconds(FEED_POLL_MS))
 
-    def take_all(self, records, asked_ms):
+    def apply_snapshot(self, records, read_start_ms):
         """See :class:`Follower`."""
-        self.stored = set()
-        self.take_changes(records, asked_ms)
+        self.stored_keys = set()
+        self.apply_changes(records, read_start_ms)
 
-    def _put(self, record):
-        self.stored.add(record.key)
-        suspect = self.decode(decode, record.key, record.value)
+    def _handle_put(self, record):
+        self.stored_keys.add(record.key)
+        suspect = self.decode_or_skip(decode, record.key, record.value)
         if suspect is None:
             return
-        # Other hosts' clocks of monotonic time mean nothing here.
+        # Monotonic clocks of hosts are not comparable; stored times are
+        # wall-clock times.
         dated = suspect.to_clock(self.host.time.wall(), self.host.clock.now())
         self.quarantine.merge([dated], 'store', pass_on=True)
 
-    def _remove(self, key):
-        self.stored.discard(key)
+    def _handle_removal(self, key):
+        self.stored_keys.discard(key)
 
-    async def _remove_old(self):
-        """Remove entries of requests that are forgotten by now."""
+    async def _remove_expired(self):
+        """Remove stored entries of requests no longer known to this host."""
         known = self.quarantine.known.suspects
-        old = [key for key in self.stored if key not in known]
-        if old:
-            await self.store.put_all(TOPIC, [(key, None) for key in old])
+        expired = [key for key in self.stored_keys if key not in known]
+        if expired:
+            await self.store.put_all(TOPIC, [(key, None) for key in expired])
 
-    async def _save_often(self):
+    async def _save_periodically(self):
         while True:
-            await asyncio.sleep(to_seconds(SAVE_MS))
+            await asyncio.sleep(to_seconds(SAVE_INTERVAL_MS))
             unsaved = self.quarantine.list_unsaved()
             if not unsaved:
                 continue
@@ -91,7 +93,7 @@
                 logger.bind(topic=TOPIC, code=exc.code).info(
                     f'quarantine not saved: {exc.message}'
                 )
-                await asyncio.sleep(to_seconds(SAVE_AGAIN_MS))
+                await asyncio.sleep(to_seconds(SAVE_RETRY_MS))
 
     async def _save(self, unsaved):
         now = self.host.clock.now()
@@ -106,14 +108,14 @@
 
 
 def encode(suspect):
-    """Encode a :class:`Suspect` whose times are Unix milliseconds."""
+    """Encode a :class:`Suspect`, whose times must be Unix milliseconds."""
     return cbor2.dumps(suspects.to_fields(suspect))
 
 
 def decode(key, data):
     """Decode a :class:`Suspect`.
 
-    :raises WireFormatError: it is none.
+    :raises WireFormatError: the data is malformed.
     """
     what = f'quarantine of {key}'
     try:
--- a/pearrun/platform/settings.py
+++ b/pearrun/platform/settings.py
@@ -1,4 +1,4 @@
-"""The settings file that the platform writes for each process."""
+"""Settings that the platform writes to a file for each process."""
 
 import dataclasses
 import os
@@ -9,24 +9,24 @@
 from pearrun.ids import HostName
 from pearrun.ids import ZoneName
 
-# Time between heartbeats of endpoints where the file does not say.
-BEAT_MS = 1200
+# Heartbeat interval of endpoints if the settings file has none.
+DEFAULT_HEARTBEAT_MS = 1200
 
-PATH_VARIABLE = 'PEARRUN_BOOT'
+PATH_ENV_VARIABLE = 'PEARRUN_BOOT'
 
 
 @dataclasses.dataclass(frozen=True)
 class StoreSettings:
-    """Where the platform's store is."""
+    """Settings of the platform's store."""
 
     address: str
 
 
 @dataclasses.dataclass(frozen=True)
 class DutySettings:
-    """Where the calls of the duties go.
+    """Settings of the platform API that the duties call.
 
-    :param names: which duties the platform asks for.
+    :param names: the duties that this deployment performs.
     """
 
     address: str
@@ -35,9 +35,10 @@
 
 @dataclasses.dataclass(frozen=True)
 class RetrySettings:
-    """How many repeated sends all hosts together may make.
+    """Retry budget of all hosts together.
 
-    In any window: ``ratio`` times the calls, plus ``slack``.
+    The number of retries in any window must not exceed ``ratio`` times the
+    number of calls, plus ``slack``.
     """
 
     ratio: float
@@ -47,9 +48,9 @@
 
 @dataclasses.dataclass(frozen=True)
 class UsageSettings:
-    """Windows of the usage report, by the wall clock.
+    """Settings of the usage report, whose windows follow the wall clock.
 
-    :param due_ms: how long after a window's end its report is due.
+    :param due_ms: time after a window's end by which its report is due.
     """
 
     window_ms: int
@@ -58,13 +59,15 @@
 
 @dataclasses.dataclass(frozen=True)
 class HostSettings:
-    """Everything one entry host is told at its start.
-
-    :param stop_ms: milliseconds from the stop signal to the kill.
-    :param link_mbps: speed of its network link, in megabits a second.
-    :param drain_ms: milliseconds a leaving endpoint still serves.
-    :param config_ms: milliseconds until a configuration must be in force.
-    :param lease_ms: milliseconds in which duties must not alternate
+    """All settings of one entry host.
+
+    :param shutdown_ms: milliseconds from the stop signal to the kill.
+    :param link_mbps: bandwidth of its network link in megabits per second.
+    :param drain_ms: milliseconds during which a draining endpoint still
+        serves.
+    :param config_ms: milliseconds within which a new configuration must be
+        in force.
+    :param lease_ms: milliseconds within which the duties must not alternate
         between two holders.
     :param beat_ms: milliseconds between an endpoint's heartbeats.
     """
@@ -83,7 +86,7 @@
     usage: UsageSettings
     quota: QuotaSettings
     link_mbps: float
-    stop_ms: int
+    shutdown_ms: int
     drain_ms: int
     config_ms: int
     lease_ms: int
@@ -93,12 +96,13 @@
 def load(path=None):
     """Read and check the settings file.
 
-    :param path: the file; by default the one named in the environment.
+    :param path: the file; by default the one named by the environment
+        variable ``PEARRUN_BOOT``.
     :returns: :class:`HostSettings`.
     :raises SettingsSyntaxError: the file cannot be read or parsed.
-    :raises SettingsValueError: a field is missing or has a bad value.
+    :raises SettingsValueError: a field is missing or has an invalid value.
     """
-    path = path or os.environ.get(PATH_VARIABLE, '/etc/pearrun/boot.toml')
+    path = path or os.environ.get(PATH_ENV_VARIABLE, '/etc/pearrun/boot.toml')
     try:
         with open(path, 'rb') as source:
             fields = tomllib.load(source)
@@ -113,7 +117,7 @@
 
 
 def decode(fields):
-    """Turn the file's fields into :class:`HostSettings`."""
+    """Decode the fields of a settings file into :class:`HostSettings`."""
     bounds = fields.get('bounds', {})
     listen = fields['listen']
     first_port, last_port = fields['port_range']
@@ -143,21 +147,21 @@
             slack=float(bounds.get('quota_slack', 0)),
         ),
         link_mbps=float(fields.get('limits', {}).get('link_mbps', 0)),
-        stop_ms=int(bounds.get('grace_s', 8) * 1000),
+        shutdown_ms=int(bounds.get('grace_s', 8) * 1000),
         drain_ms=int(bounds.get('drain_ms', 2000)),
         config_ms=int(bounds.get('config_ms', 2000)),
         lease_ms=int(bounds.get('lease_ms', 3000)),
-        beat_ms=int(fields.get('beat_ms', BEAT_MS)),
+        beat_ms=int(fields.get('beat_ms', DEFAULT_HEARTBEAT_MS)),
     )
 
 
 def decode_store(fields):
-    """Decode the section on the platform's store."""
+    """Decode the section of the platform's store."""
     return StoreSettings(address=str(fields['addr']))
 
 
 def decode_duties(fields):
-    """Decode the section on the duties; ``None`` where there is none."""
+    """Decode the section of the duties; ``None`` if it is missing."""
     if not fields:
         return None
     return DutySettings(
--- a/pearrun/platform/statelog.py
+++ b/pearrun/platform/statelog.py
@@ -1,4 +1,4 @@
-"""Log lines that say now and then what a host costs and knows."""
+"""Periodic log line with a host's resource usage and state."""
 
 import asyncio
 import time
@@ -7,25 +7,25 @@
 
 from pearrun.clock import to_seconds
 
-PERIOD_MS = 10_000
+INTERVAL_MS = 10_000
 
 
 async def log_state(daemon):
-    """Write a line every ten seconds, for the process's whole life.
+    """Log the host's state every ten seconds, until cancelled.
 
     :param daemon: the host's :class:`Daemon`.
     """
     while True:
-        await asyncio.sleep(to_seconds(PERIOD_MS))
+        await asyncio.sleep(to_seconds(INTERVAL_MS))
         logger.bind(
             cpu_ms=round(time.process_time() * 1000),
             hosts=daemon.host.count_hosts(),
             endpoints=len(daemon.host.fleet.endpoints),
-            store_calls=name_calls(daemon.store.calls),
+            store_calls=format_calls(daemon.store.calls),
             store_failures=daemon.store.failures,
         ).info('host state')
 
 
-def name_calls(calls):
-    """Return counts of store calls by one name for call and topic."""
+def format_calls(calls):
+    """Return the counts of store calls keyed by operation and topic."""
     return {f'{call} {topic}': count for (call, topic), count in calls.items()}
--- a/pearrun/platform/store.py
+++ b/pearrun/platform/store.py
@@ -1,6 +1,7 @@
-"""Client of the platform's store: logs, some of them keyed.
+"""Client of the platform's store, which holds logs and keyed logs.
 
-All that hosts agree on or keep goes through this one client.
+All state that hosts share or persist goes through this client.  A keyed log
+can be read as a snapshot: the newest record of every key.
 """
 
 import asyncio
@@ -17,31 +18,32 @@
 from pearrun.http1.pool import PoolSettings
 
 KEYED_PREFIX = 'keyed.'
-# A connection to the store that cannot be opened in this time is given
-# up; the store is a few ms away and answers in 4 ms.
-CONNECT_MS = 1000
-# Unacknowledged bytes end a connection to the store after this long.
-SILENCE_MS = 1500
-# Most connections at once: one long poll for each followed topic, and a
-# few short calls.
+# The store is a few ms away and responds in 4 ms.
+CONNECT_TIMEOUT_MS = 1000
+# How long sent data may stay unacknowledged before the connection is closed.
+TCP_USER_TIMEOUT_MS = 1500
+# Enough for one long poll per followed topic and a few short calls.
 MAX_CONNECTIONS = 12
-# How long a short call may take; a slow store takes 50 times its 4 ms.
-CALL_MS = 1500
-# Added to a long poll's own time before it is given up.
-POLL_MARGIN_MS = 1000
-# How long a read that does not wait may take: more than a slow store takes.
-# What hangs leaves time for another one while a drain has to be acted on,
-# which may take twice as long, up to the margin above.
-READ_NOW_MS = 300
-MOST_DOUBLED = 2
+# Timeout of short calls; a slow store takes 50 times its usual 4 ms.
+CALL_TIMEOUT_MS = 1500
+# Added to the wait of a long poll to get its timeout.
+LONG_POLL_MARGIN_MS = 1000
+# Timeout of a read that does not wait; longer than a slow store takes.  After
+# a read that hangs, there must be time for a second one within the time in
+# which a drain must be acted on.  Each consecutive failure doubles the
+# timeout, up to LONG_POLL_MARGIN_MS.
+READ_TIMEOUT_MS = 300
+MAX_TIMEOUT_DOUBLINGS = 2
 MAX_BODY_BYTES = 8 * 1024 * 1024
-LENGTH = struct.Struct('>I')
-BOUNDS = struct.Struct('>QQ')
+# Precedes each record.
+RECORD_LENGTH = struct.Struct('>I')
+# Precedes the records in the response to a read: end and first offset.
+READ_BOUNDS = struct.Struct('>QQ')
 
 
 @dataclasses.dataclass(frozen=True)
 class KeyedRecord:
-    """The newest record of a key; ``value`` is ``None`` if removed."""
+    """A record of a key; ``value`` is ``None`` if the key was removed."""
 
     key: str
     value: bytes | None
@@ -61,7 +63,7 @@
 
 
 class StoreClient:
-    """Calls the platform's store.
+    """Client of the platform's store.
 
     :param settings: :class:`StoreSettings`.
     """
@@ -71,78 +73,85 @@
         self.calls = collections.Counter()
         self.failures = 0
         self.failing = False
-        self._failed_in_row = 0
+        self._consecutive_failures = 0
         self.pool = make_pool(settings.address)
 
-    def use(self, settings):
-        """Take changed settings; a new address gets new connections."""
+    def update_settings(self, settings):
+        """Apply changed settings; a new address gets a new connection pool."""
         if settings.address != self.settings.address:
             self.pool.close()
             self.pool = make_pool(settings.address)
         self.settings = settings
 
-    async def append(self, topic, records, at=None, call_ms=CALL_MS):
+    async def append(
+        self, topic, records, at=None, timeout_ms=CALL_TIMEOUT_MS
+    ):
         """Append records to a topic.
 
         :param records: byte strings.
-        :param at: the offset at which the topic must end, or ``None``.
+        :param at: offset at which the topic must end for the append to
+            succeed; ``None`` to append unconditionally.
+        :param timeout_ms: timeout of the call.
         :returns: the offset of the first record.
-        :raises StoreConflictError: the topic ends elsewhere.
-        :raises RateLimitedError: too many calls.
-        :raises StoreUnavailableError: no answer; the append may still
-            happen while its condition holds.
+        :raises StoreConflictError: the topic ends at another offset.
+        :raises RateLimitedError: the store's rate limit was exceeded.
+        :raises StoreUnavailableError: no response; the append may still be
+            executed while its condition holds.
         """
         query = {'topic': topic, 'part': 0}
         if at is not None:
             query['at'] = at
-        body = b''.join(LENGTH.pack(len(item)) + item for item in records)
+        body = b''.join(
+            RECORD_LENGTH.pack(len(item)) + item for item in records
+        )
         response = await self._call(
-            'POST', '/log-append', query, body, call_ms
+            'POST', '/log-append', query, body, timeout_ms
         )
         reply = parse_json(response.body)
         if response.head.status == 412:
             raise exceptions.StoreConflictError(
-                'log ends elsewhere', reply['end']
+                'log does not end at the expected offset', reply['end']
             )
         check_status(response)
         return reply['offset']
 
     async def read(self, topic, start, wait_ms=0):
-        """Read records from an offset on, waiting for the first one.
+        """Read records from an offset on, optionally waiting for the first.
 
-        :param wait_ms: how long to wait while there is none.
+        :param wait_ms: how long the store waits while there is none.
         :returns: a :class:`Batch`.
-        :raises ExpiredOffsetError: the records were deleted.
-        :raises StoreUnavailableError: no answer.
+        :raises ExpiredOffsetError: records from this offset were deleted.
+        :raises StoreUnavailableError: no response.
         """
         query = {'topic': topic, 'part': 0, 'from': start}
         if wait_ms:
             query['wait_ms'] = wait_ms
         response = await self._call(
-            'GET', '/log-read', query, b'', self._limit_read(wait_ms)
+            'GET', '/log-read', query, b'', self._get_read_timeout_ms(wait_ms)
         )
         if response.head.status == 410:
             first = parse_json(response.body).get('first', 0)
             raise exceptions.ExpiredOffsetError(
-                f'{topic}: {start} expired', first_offset=first
+                f'{topic}: offset {start} expired', first_offset=first
             )
         check_status(response)
-        records = split_records(response.body[BOUNDS.size :])
+        records = split_records(response.body[READ_BOUNDS.size :])
         return Batch(start, records, start + len(records))
 
-    async def newest(self, topic):
+    async def read_newest(self, topic):
         """Read the newest record of every key of a keyed topic.
 
         :returns: ``(records, end)``: a list of :class:`KeyedRecord` and
-            the offset from which later changes can be read.  The end is
-            that of the first page, so no change is missed between pages.
+            the offset from which later changes can be read.  This is the
+            end reported with the first page, so that no change between pages
+            is missed.
         """
         records = []
         end = None
         query = {'topic': KEYED_PREFIX + topic, 'part': 0}
         while True:
             response = await self._call(
-                'GET', '/log-newest', query, b'', CALL_MS * 2
+                'GET', '/log-newest', query, b'', CALL_TIMEOUT_MS * 2
             )
             check_status(response)
             reply = parse_json(response.body)
@@ -155,66 +164,70 @@
                 return records, end
             query['after'] = items[-1]['key']
 
-    async def put(self, topic, key, value, call_ms=CALL_MS):
+    async def put(self, topic, key, value, timeout_ms=CALL_TIMEOUT_MS):
         """Write a key of a keyed topic; ``None`` removes it."""
-        return await self.put_all(topic, [(key, value)], call_ms)
+        return await self.put_all(topic, [(key, value)], timeout_ms)
 
-    async def put_all(self, topic, pairs, call_ms=CALL_MS):
-        """Write several keys of a keyed topic, all of them or none.
+    async def put_all(self, topic, pairs, timeout_ms=CALL_TIMEOUT_MS):
+        """Write several keys of a keyed topic atomically.
 
         :param pairs: keys and values; see :meth:`put`.
         """
-        records = [join_key(key, value) for key, value in pairs]
+        records = [encode_keyed(key, value) for key, value in pairs]
         return await self.append(
-            KEYED_PREFIX + topic, records, call_ms=call_ms
+            KEYED_PREFIX + topic, records, timeout_ms=timeout_ms
         )
 
-    async def follow(self, topic, start, wait_ms):
+    async def read_changes(self, topic, start, wait_ms):
         """Read changes of a keyed topic.
 
-        :returns: ``(records, next)``; see :meth:`newest`.
+        :returns: ``(records, next)``; see :meth:`read_newest`.
         """
         batch = await self.read(KEYED_PREFIX + topic, start, wait_ms)
-        return [split_key(item) for item in batch.records], batch.next
+        return [decode_keyed(item) for item in batch.records], batch.next
 
-    def _limit_read(self, wait_ms):
-        """Return how long a read may take, in milliseconds.
+    def _get_read_timeout_ms(self, wait_ms):
+        """Return the timeout of a read, in milliseconds.
 
         :param wait_ms: how long the store waits for records.
         """
         if wait_ms:
-            return wait_ms + POLL_MARGIN_MS
-        return min(POLL_MARGIN_MS, READ_NOW_MS << self._failed_in_row)
+            return wait_ms + LONG_POLL_MARGIN_MS
+        return min(
+            LONG_POLL_MARGIN_MS, READ_TIMEOUT_MS << self._consecutive_failures
+        )
 
-    async def _call(self, method, path, query, body, call_ms):
+    async def _call(self, method, path, query, body, timeout_ms):
         self.calls[path.rpartition('-')[2], query['topic']] += 1
         target = f'{path}?{urllib.parse.urlencode(query)}'
         headers = [('Host', self.settings.address)]
         if method == 'POST':
             headers.append(('Content-Length', str(len(body))))
         try:
-            async with asyncio.timeout(to_seconds(call_ms)):
+            async with asyncio.timeout(to_seconds(timeout_ms)):
                 response = await self.pool.fetch(
                     method, target, headers, body, MAX_BODY_BYTES
                 )
         except (exceptions.PearrunError, TimeoutError) as exc:
             self.failures += 1
-            self._failed_in_row = min(MOST_DOUBLED, self._failed_in_row + 1)
+            self._consecutive_failures = min(
+                MAX_TIMEOUT_DOUBLINGS, self._consecutive_failures + 1
+            )
             self.failing = True
             if exceptions.is_silence(exc):
-                # What silenced this connection may have silenced the idle
-                # ones: each would cost another call its whole time.
+                # The idle connections may be dead for the same reason, and
+                # each would make another call time out.
                 self.pool.close()
             raise exceptions.StoreUnavailableError(
                 f'{path}: {exc or "timed out"}'
             ) from exc
-        self._failed_in_row = 0
+        self._consecutive_failures = 0
         if response.head.status < 500 and response.head.status != 429:
-            self._note_answer()
+            self._abort_stale_reads()
         return response
 
-    def _note_answer(self):
-        """End reads that wait since before an outage: they may hang."""
+    def _abort_stale_reads(self):
+        """Abort long polls begun before an outage: they may hang."""
         if not self.failing:
             return
         self.failing = False
@@ -223,51 +236,55 @@
 
 
 def make_pool(address):
-    """Return a pool of connections to the store."""
-    limits = PoolSettings(MAX_CONNECTIONS, CONNECT_MS, SILENCE_MS)
+    """Return a connection pool for the store."""
+    limits = PoolSettings(
+        MAX_CONNECTIONS, CONNECT_TIMEOUT_MS, TCP_USER_TIMEOUT_MS
+    )
     return Pool(address, limits)
 
 
 def check_status(response):
-    """Raise the error that a response's status stands for."""
+    """Raise the error that corresponds to a response's status."""
     status = response.head.status
     if status == 429:
-        raise exceptions.RateLimitedError('the store refused the call')
+        raise exceptions.RateLimitedError('store rate limit exceeded')
     if status != 200:
-        raise exceptions.StoreUnavailableError(f'the store said {status}')
+        raise exceptions.StoreUnavailableError(
+            f'store returned status {status}'
+        )
 
 
 def parse_json(body):
-    """Parse a response's body; an empty one is an empty map."""
+    """Parse a JSON body; an empty one yields an empty dictionary."""
     try:
         return json.loads(body) if body else {}
     except ValueError as exc:
-        raise exceptions.WireFormatError(f'store: {exc}') from exc
+        raise exceptions.WireFormatError(f'store response: {exc}') from exc
 
 
 def split_records(data):
-    """Split a body into records, each behind its length."""
+    """Split a body into records, each preceded by its length."""
     records = []
     position = 0
-    while position + LENGTH.size <= len(data):
-        (size,) = LENGTH.unpack_from(data, position)
-        position += LENGTH.size
+    while position + RECORD_LENGTH.size <= len(data):
+        (size,) = RECORD_LENGTH.unpack_from(data, position)
+        position += RECORD_LENGTH.size
         records.append(bytes(data[position : position + size]))
         position += size
     return records
 
 
-def join_key(key, value):
-    """Join key and value into a keyed record."""
+def encode_keyed(key, value):
+    """Encode a key and a value as a keyed record."""
     name = key.encode()
     return bytes([len(name)]) + name + (value or b'')
 
 
-def split_key(record):
-    """Split a keyed record into key and value.
+def decode_keyed(record):
+    """Decode a keyed record.
 
-    A key that is no text gets replacement characters: it names nothing
-    known, and what follows it can still be read.
+    Invalid UTF-8 in a key is replaced: such a key matches nothing known, and
+    the records after it can still be read.
     """
     size = record[0] if record else 0
     key = record[1 : 1 + size].decode('utf-8', 'replace')
--- a/pearrun/platform/usagelog.py
+++ b/pearrun/platform/usagelog.py
@@ -1,4 +1,4 @@
-"""Usage counts that are not reported yet, on the platform's store."""
+"""Usage counts not reported yet, kept in the platform's store."""
 
 import cbor2
 from loguru import logger
@@ -11,7 +11,7 @@
 
 
 class UsageLog:
-    """Reads and writes one entry for each run of a host.
+    """Reads and writes usage entries, one for each run of a host's process.
 
     :param store: the :class:`StoreClient`.
     """
@@ -20,26 +20,26 @@
         self.store = store
 
     async def read(self):
-        """Return all entries: a list of :class:`SavedRun`.
+        """Return all well-formed entries: a list of :class:`SavedRun`.
 
-        :raises StoreError: the store did not answer.
+        :raises StoreError: the store did not respond.
         """
-        records, _ = await self.store.newest(TOPIC)
+        records, _ = await self.store.read_newest(TOPIC)
         runs = []
         for record in records:
             try:
                 runs.append(decode(record.key, record.value))
             except exceptions.WireFormatError as exc:
                 logger.bind(topic=TOPIC, code=exc.code).error(
-                    f'entry left aside: {exc.message}'
+                    f'malformed entry skipped: {exc.message}'
                 )
         return runs
 
     async def write(self, runs):
-        """Write entries; those without any counts are removed.
+        """Write entries; remove those of runs without counts.
 
         :param runs: :class:`SavedRun` objects.
-        :raises StoreError: the store did not answer.
+        :raises StoreError: the store did not respond.
         """
         await self.store.put_all(
             TOPIC, [(make_key(run), encode(run)) for run in runs]
@@ -52,14 +52,14 @@
 
 
 def encode(run):
-    """Encode a :class:`SavedRun`; ``None`` where nothing is left of it."""
+    """Encode a :class:`SavedRun`; ``None`` if it has no counts."""
     return cbor2.dumps([run.windows]) if run.windows else None
 
 
 def decode(key, data):
     """Decode a :class:`SavedRun`.
 
-    :raises WireFormatError: it is none.
+    :raises WireFormatError: the entry is malformed.
     """
     try:
         host, _, started_ms = key.rpartition('/')
--- a/pearrun/relay/exchange.py
+++ b/pearrun/relay/exchange.py
@@ -120,7 +120,7 @@
         """
         for _ in range(MOST_STRAYS):
             head = await self.connection.read_head()
-            verdict = self.host.codec.judge(head, self.call)
+            verdict = self.host.codec.classify_response(head, self.call)
             if verdict is not Verdict.STRAY:
                 return head, verdict
             await self.connection.read_body(WHOLE_ANSWER_BYTES)
--- a/tests/platformsite.py
+++ b/tests/platformsite.py
@@ -98,7 +98,7 @@
     return HostContext(settings, EndpointCodec(), Clock())
 
 
-def make_tenant(name, rate_per_s=20_000, burst=100_000):
+def make_customer(name, rate_per_s=20_000, burst=100_000):
     """Return a customer's part of a configuration."""
     return {
         'name': name,
--- a/tests/test_endpoint_entries.py
+++ b/tests/test_endpoint_entries.py
@@ -11,8 +11,8 @@
 from pearrun.decisions.avoidance import Pause
 from pearrun.platform import decoding
 from pearrun.platform.endpointlist import EndpointFollower
+from pearrun.platform.store import decode_keyed
 from pearrun.platform.store import KeyedRecord
-from pearrun.platform.store import split_key
 from pearrun.shared.loads import Load
 from pearrun.shared.prompts import PromptPart
 from pearrun.states import EndpointState
@@ -51,7 +51,7 @@
 
 def take(follower, name, raw):
     """Have a follower take one change."""
-    follower.take_changes([KeyedRecord(name, raw)], 0)
+    follower.apply_changes([KeyedRecord(name, raw)], 0)
 
 
 def find(follower, name='e1'):
@@ -124,7 +124,7 @@
 
 @given(st.binary())
 def test_any_record_has_a_key(raw):
-    assert isinstance(split_key(raw).key, str)
+    assert isinstance(decode_keyed(raw).key, str)
 
 
 @pytest.mark.parametrize(
@@ -166,7 +166,7 @@
     assert find(follower).record.started_ms == LATER
     assert find(follower).record.state is EndpointState.LIVE
     # Nor does it after the newer start has left.
-    follower.take_changes([KeyedRecord('e1', None)], 0)
+    follower.apply_changes([KeyedRecord('e1', None)], 0)
     take(follower, 'e1', encode())
     assert find(follower) is None
 
@@ -191,12 +191,12 @@
         follower = make_follower()
         take(follower, 'e1', encode())
         clock = follower.host.clock
-        follower.regained_ms = clock.now() - 1000
-        follower.take_changes([KeyedRecord('e1', None)], 0)
+        follower.recovered_at_ms = clock.now() - 1000
+        follower.apply_changes([KeyedRecord('e1', None)], 0)
         assert find(follower) is not None
         await wait_until(lambda: find(follower) is None)
         allowed_ms = follower.host.settings.drain_ms
-        assert clock.since(follower.regained_ms) < allowed_ms
+        assert clock.since(follower.recovered_at_ms) < allowed_ms
 
     asyncio.run(main())
 
@@ -205,8 +205,8 @@
     async def main():
         follower = make_follower()
         take(follower, 'e1', encode())
-        follower.regained_ms = follower.host.clock.now()
-        follower.take_changes([KeyedRecord('e1', None)], 0)
+        follower.recovered_at_ms = follower.host.clock.now()
+        follower.apply_changes([KeyedRecord('e1', None)], 0)
         assert follower.removals
         take(follower, 'e1', encode(born=LATER))
         assert not follower.removals
--- a/tests/test_late_drains.py
+++ b/tests/test_late_drains.py
@@ -33,7 +33,7 @@
 from pearrun.clock import to_seconds
 from pearrun.platform.endpointlist import EndpointFollower
 from pearrun.platform.store import KeyedRecord
-from pearrun.platform.store import READ_NOW_MS
+from pearrun.platform.store import READ_TIMEOUT_MS
 from pearrun.shared.reports import TopicFeed
 from pearrun.standins.platformsite import make_config
 from tests.platformsite import make_host_context
@@ -60,17 +60,17 @@
         self.reads = 0
         self.drained_ms = None
 
-    async def newest(self, topic):
+    async def read_newest(self, topic):
         """See :class:`StoreClient`."""
         return list(self.records), len(self.records)
 
-    async def follow(self, topic, start, wait_ms):
+    async def read_changes(self, topic, start, wait_ms):
         """See :class:`StoreClient`."""
         self.reads += 1
         if self.reads in self.failing_reads:
             raise exceptions.StoreUnavailableError('no answer')
         if self.reads in self.hung_reads:
-            await asyncio.sleep(to_seconds(wait_ms + READ_NOW_MS))
+            await asyncio.sleep(to_seconds(wait_ms + READ_TIMEOUT_MS))
             raise exceptions.StoreUnavailableError('no answer')
         found = self.records[start:]
         if self.reads == self.drain_at_read:
@@ -201,9 +201,9 @@
             for _ in range(3):
                 began_ms = host.clock.now()
                 with pytest.raises(exceptions.StoreUnavailableError):
-                    await host.store.follow('servers', 0, 0)
+                    await host.store.read_changes('servers', 0, 0)
                 limits.append(host.clock.since(began_ms))
-            assert limits[0] < 1.5 * READ_NOW_MS
+            assert limits[0] < 1.5 * READ_TIMEOUT_MS
             assert limits[0] < limits[1] <= limits[2]
 
     asyncio.run(main())
--- a/tests/test_ownshare.py
+++ b/tests/test_ownshare.py
@@ -18,8 +18,8 @@
 from pearrun.shared.reporter import Reporter
 from pearrun.shared.run import Run
 from tests.platformsite import configure
+from tests.platformsite import make_customer
 from tests.platformsite import make_host_context
-from tests.platformsite import make_tenant
 from tests.reportbuilders import make_report
 
 HUB = Run('hub', 1, 'zone-a', True)
@@ -115,7 +115,7 @@
 def make_board():
     """Return the board of a host of zone-a that is no hub."""
     host = make_host_context()
-    configure(host, tenants=[make_tenant(name) for name in CUSTOMERS])
+    configure(host, tenants=[make_customer(name) for name in CUSTOMERS])
     return ReportBoard(host, None)
 
 
--- a/tests/test_peerlinks.py
+++ b/tests/test_peerlinks.py
@@ -30,7 +30,7 @@
             await wait_until(lambda: first.host.members.count() == 2)
             member = first.host.members.members['host-2']
             gone = dataclasses.replace(member, address='127.0.0.1:9')
-            links = first.make_links()
+            links = first.make_peer_links()
             linking = asyncio.create_task(links._keep_link(gone))
             await asyncio.sleep(0.5)
             assert not links.down
--- a/tests/test_platform_adapter.py
+++ b/tests/test_platform_adapter.py
@@ -20,7 +20,7 @@
 from pearrun.platform import codec
 from pearrun.platform import decoding
 from pearrun.platform import settings as settings_module
-from pearrun.platform.store import split_key
+from pearrun.platform.store import decode_keyed
 from pearrun.platform.store import split_records
 from pearrun.platform.store import StoreClient
 from pearrun.relay.events import EventCutter
@@ -57,7 +57,7 @@
     path = tmp_path / 'boot.toml'
     path.write_text(render_settings(make_fields(grace_s=8, budget_slack=58)))
     settings = settings_module.load(path)
-    assert settings.stop_ms == 8000
+    assert settings.shutdown_ms == 8000
     assert settings.retry.slack == 58
     assert settings.zones == ('zone-a', 'zone-b')
     assert settings.duties.names == {'usage', 'autoscale'}
@@ -179,8 +179,8 @@
 def test_records_are_split_as_they_were_joined():
     records = [b'', b'a', b'b' * 300]
     assert split_records(join_records(records)) == records
-    assert split_key(b'\x03keyvalue').value == b'value'
-    assert split_key(b'\x03key').value is None
+    assert decode_keyed(b'\x03keyvalue').value == b'value'
+    assert decode_keyed(b'\x03key').value is None
 
 
 def test_events_are_cut_whole_wherever_the_bytes_are_split():
@@ -322,9 +322,9 @@
         await asyncio.sleep(0.1)
         site.store.faults.silent = True
         with pytest.raises(exceptions.StoreUnavailableError):
-            await store.append('t', [b'x'], call_ms=100)
+            await store.append('t', [b'x'], timeout_ms=100)
         site.store.faults.silent = False
-        assert await store.newest('u') == ([], 0)
+        assert await store.read_newest('u') == ([], 0)
         with pytest.raises(exceptions.StoreUnavailableError):
             await waiting
         await site.stop()
--- a/tests/test_platform_duties.py
+++ b/tests/test_platform_duties.py
@@ -14,7 +14,7 @@
 from pearrun.decisions.lease import LeaseView
 from pearrun.decisions.lease import RecordKind
 from pearrun.http1.client import connect
-from pearrun.platform import dutycalls
+from pearrun.platform import dutyclient
 from pearrun.shared.scaler import Scaler
 from pearrun.shared.term import Term
 from pearrun.standins.platformsite import KEY
@@ -288,10 +288,10 @@
     async def main():
         async with run_site(make_config(), PLAIN) as site:
             site.api.status = 409
-            client = dutycalls.DutyClient(site.api_address, 'host-1')
+            client = dutyclient.DutyClient(site.api_address, 'host-1')
             try:
                 await client.report_usage(make_term(), 5, {'anna': 1})
-            except dutycalls.exceptions.DutyCallError as exc:
+            except dutyclient.exceptions.DutyCallError as exc:
                 assert exc.status == 409
             else:
                 raise AssertionError('the refusal was taken for a success')
@@ -315,7 +315,7 @@
 def test_no_duty_call_is_sent_or_awaited_after_its_term():
     async def main():
         async with run_site(make_config(), PLAIN) as site:
-            client = dutycalls.DutyClient(site.api_address, 'host-1')
+            client = dutyclient.DutyClient(site.api_address, 'host-1')
             before = len(site.api.calls)
             with pytest.raises(exceptions.DutyCallError):
                 await client.report_usage(make_term(0), 5, {'anna': 1})
@@ -363,7 +363,7 @@
         port = free_port()
         server, read, received = await serve_silently(port, 4096)
         address = f'127.0.0.1:{port}'
-        client = dutycalls.DutyClient(address, 'host-1')
+        client = dutyclient.DutyClient(address, 'host-1')
         counts = {f'customer-{number:06}': 1 for number in range(20_000)}
         term = make_term(400)
         with pytest.raises(exceptions.DutyCallError):
--- a/tests/test_platform_path.py
+++ b/tests/test_platform_path.py
@@ -392,7 +392,7 @@
     async def scenario(site, host):
         second = site.hosts['host-2']
         await wait_until(lambda: len(host.host.members.others()) == 1)
-        await second.leave()
+        await second.shut_down()
         await wait_until(lambda: not host.host.members.others())
 
     play(scenario, hosts=2)
@@ -420,7 +420,7 @@
         hosts = list(site.hosts.values())
         members = host.host.members
         await wait_until(lambda: any(map(Daemon.holds_lease, hosts)))
-        monkeypatch.setattr(membership, 'SILENT_MS', 1000)
+        monkeypatch.setattr(membership, 'STALE_HOST_MS', 1000)
         member = Member('gone', '127.0.9.9:1', 'zone-a', 1)
         await host.store.put('hosts', 'gone', membership.encode(member))
         await wait_until(lambda: 'gone' in members.members)
@@ -578,7 +578,7 @@
         idle = await client.connect(host.settings.front_address, 1000, 5000)
         connection.send('GET', '/once/', make_headers('a1'))
         await wait_until(lambda: site.runners['p1'].runs)
-        leaving = asyncio.create_task(host.leave())
+        leaving = asyncio.create_task(host.shut_down())
         await asyncio.sleep(0)
         assert not host.host.is_ready()
         head = await connection.read_head()
--- a/tests/test_quota_cost.py
+++ b/tests/test_quota_cost.py
@@ -7,8 +7,8 @@
 from pearrun.shared.quotas import Admitted
 from pearrun.shared.run import Run
 from tests.platformsite import configure
+from tests.platformsite import make_customer
 from tests.platformsite import make_host_context
-from tests.platformsite import make_tenant
 
 HOSTS = 195
 CUSTOMERS = [f'customer-{number}' for number in range(19)]
@@ -18,7 +18,7 @@
 def make_large_fleet_host():
     """Return the shared objects of one of many hosts."""
     host = make_host_context()
-    configure(host, tenants=[make_tenant(name) for name in CUSTOMERS])
+    configure(host, tenants=[make_customer(name) for name in CUSTOMERS])
     for number in range(HOSTS):
         host.members.put(Member(f'h{number}', f'10.0.0.{number}:1', 'z', 1))
     host.members.listed = True
--- a/tests/test_usage_saving.py
+++ b/tests/test_usage_saving.py
@@ -33,7 +33,7 @@
     def __init__(self):
         self.values = {}
 
-    async def newest(self, topic):
+    async def read_newest(self, topic):
         """See :class:`StoreClient`."""
         records = [Record(*item) for item in self.values.items()]
         return records, len(records)
