--- a/tests/crashes.py
+++ b/tests/crashes.py
@@ -56,7 +56,7 @@
 
 
 async def send(host, path, attempt, body=CRASHING):
-    """Send one request; return its :class:`Answer`."""
+    """Send one request; return its :class:`Response`."""
     prompt = make_prompt() if path.startswith(STREAMS) else {}
     return await call(host, path, attempt, 'POST', body, **prompt)
 
@@ -66,7 +66,7 @@
 
     Entries of crashed endpoints lapse meanwhile, as the platform's do.
 
-    :returns: the :class:`Answer` objects.
+    :returns: the :class:`Response` objects.
     """
     hosts = list(site.hosts.values())
     answers = []
--- a/tests/platformsite.py
+++ b/tests/platformsite.py
@@ -1,6 +1,7 @@
-"""Builders of a small site on the platform's wire, in one process.
+"""Builders of small test deployments that use the platform's protocol.
 
-Each host has a loopback address of its own, so that ports are alike.
+All hosts run in one process.  Each has its own loopback address, so that all
+can listen on the same ports.
 """
 
 import asyncio
@@ -24,15 +25,15 @@
 from tests.builders import free_port
 
 
-class NoLogWriter:
-    """Stands where the bounded log writer counts its drops."""
+class FakeLogWriter:
+    """Replaces the bounded log writer; never drops a line."""
 
     dropped_total = 0
 
 
 @dataclasses.dataclass
-class Answer:
-    """What a caller got; ``complete`` is false for a broken body."""
+class Response:
+    """A caller's response; ``complete`` is false if its body broke off."""
 
     status: int
     head: object
@@ -40,7 +41,7 @@
     complete: bool = True
 
     def json(self):
-        """Return the body, parsed."""
+        """Return the body, parsed as JSON."""
         return json.loads(self.body)
 
 
@@ -52,8 +53,8 @@
             f'127.0.0.1:{free_port()}', f'127.0.0.1:{free_port()}'
         )
         self.hosts = {}
-        # Apart from those of another test run on this machine, since the
-        # port of the metrics is fixed.
+        # Differs from that of other test runs on this machine, since the
+        # metrics port is fixed.
         self.subnet = 1 + os.getpid() % 250
         self.ports = {
             'front': free_port(),
@@ -67,7 +68,10 @@
         return await super().add_runner(name, service, address, zone)
 
     async def add_host(self, number=1, zone='zone-a', **bounds):
-        """Start an entry host with a loopback address of its own."""
+        """Start an entry host on its own loopback address.
+
+        :param bounds: fields of the settings' section ``bounds``.
+        """
         fields = make_settings_fields(
             f'host-{number}',
             zone,
@@ -77,7 +81,7 @@
             **bounds,
         )
         settings = settings_module.decode(fields)
-        daemon = Daemon(settings, NoLogWriter(), lambda: settings)
+        daemon = Daemon(settings, FakeLogWriter(), lambda: settings)
         self.hosts[settings.name] = daemon
         await daemon.start()
         return daemon
@@ -90,7 +94,7 @@
 
 
 def make_host_context():
-    """Return the shared objects of a host in zone-a that runs nothing."""
+    """Return the :class:`HostContext` of a host in zone-a without a daemon."""
     site = StandinSite('10.0.0.1:1', '10.0.0.1:2')
     ports = {'front': 8360, 'ready': 8365, 'peer': 7500}
     fields = make_settings_fields('h', 'zone-a', '10.1.0.1', site, ports)
@@ -99,7 +103,7 @@
 
 
 def make_customer(name, rate_per_s=20_000, burst=100_000):
-    """Return a customer's part of a configuration."""
+    """Return a customer's entry in a configuration."""
     return {
         'name': name,
         'api_keys': [f'key-of-{name}'],
@@ -111,16 +115,16 @@
 
 
 def configure(host, **fields):
-    """Bring a configuration into force at a host that runs nothing."""
+    """Bring a configuration into force at a host without a daemon."""
     raw = json.dumps(make_config(**fields)).encode()
     host.config.offer(decode_configuration(raw), 'test')
 
 
 @contextlib.asynccontextmanager
 async def run_site(config=None, runners=(), hosts=1):
-    """Run a site until the block ends, its hosts ready.
+    """Run a site; enter the block once all hosts are ready.
 
-    :param runners: pairs of a name and a service.
+    :param runners: pairs of an endpoint's name and its service.
     """
     site = PlatformSite()
     await site.start()
@@ -143,7 +147,7 @@
 async def wait_until(condition, timeout_s=5.0):
     """Wait until a condition holds.
 
-    :raises TimeoutError: it did not within ``timeout_s``.
+    :raises TimeoutError: the condition did not hold within ``timeout_s``.
     """
     async with asyncio.timeout(timeout_s):
         while not condition():
@@ -174,9 +178,9 @@
 
 
 async def call(daemon, path, attempt, method='GET', body=b'', **headers):
-    """Send one request to a host on a connection of its own.
+    """Send one request to a host on a new connection.
 
-    :returns: an :class:`Answer`; status 0 where none came.
+    :returns: a :class:`Response`; its status is 0 if none came.
     """
     address = daemon.settings.front_address
     connection = await client.connect(address, 1000, 5000)
@@ -187,7 +191,7 @@
         connection.send(method, path, fields, body)
         head = await connection.read_head()
     except client.exceptions.ConnectionBrokenError:
-        return Answer(0, None, b'', complete=False)
+        return Response(0, None, b'', complete=False)
     parts = []
     complete = True
     try:
@@ -196,4 +200,4 @@
     except client.exceptions.ConnectionBrokenError:
         complete = False
     connection.abort()
-    return Answer(head.status, head, b''.join(parts), complete)
+    return Response(head.status, head, b''.join(parts), complete)
--- a/tests/test_endpoint_entries.py
+++ b/tests/test_endpoint_entries.py
@@ -1,4 +1,4 @@
-"""Entries of endpoints: other writers' ones, and endpoints started again."""
+"""Decoding of endpoint entries, and endpoints that restart."""
 
 import asyncio
 import json
@@ -31,8 +31,8 @@
     'born': 1_700_000_000_000,
 }
 LATER = ENTRY['born'] + 5000
-NEEDED = ('service', 'addr', 'zone', 'slots', 'state')
-TYPED = (*NEEDED, 'born', 'spot', 'leaves_ms')
+REQUIRED = ('service', 'addr', 'zone', 'slots', 'state')
+TYPED = (*REQUIRED, 'born', 'spot', 'leaves_ms')
 JSON = st.recursive(
     st.none() | st.booleans() | st.integers() | st.floats() | st.text(),
     lambda inner: st.lists(inner) | st.dictionaries(st.text(), inner),
@@ -45,21 +45,21 @@
 
 
 def make_follower():
-    """Return a follower whose store is never asked."""
+    """Return a follower whose store is never read."""
     return EndpointFollower(make_host_context(), None)
 
 
-def take(follower, name, raw):
-    """Have a follower take one change."""
+def apply_change(follower, name, raw):
+    """Apply one change to a follower."""
     follower.apply_changes([KeyedRecord(name, raw)], 0)
 
 
 def find(follower, name='e1'):
-    """Return what a follower's host knows of an endpoint."""
+    """Return the endpoint known to a follower's host, or ``None``."""
     return follower.host.fleet.find(name)
 
 
-def test_an_entry_is_decoded():
+def test_entry_is_decoded():
     record = decoding.decode_endpoint('e1', encode(spot=True, leaves_ms=7.5))
     assert record.name == 'e1'
     assert record.started_ms == ENTRY['born']
@@ -68,8 +68,8 @@
     assert record.leaves_ms == 7
 
 
-@pytest.mark.parametrize('name', NEEDED)
-def test_an_entry_that_lacks_a_field_names_no_endpoint(name):
+@pytest.mark.parametrize('name', REQUIRED)
+def test_entry_without_a_required_field_is_rejected(name):
     entry = {key: value for key, value in ENTRY.items() if key != name}
     with pytest.raises(exceptions.WireFormatError):
         decoding.decode_endpoint('e1', json.dumps(entry).encode())
@@ -77,11 +77,11 @@
 
 @pytest.mark.parametrize('name', TYPED)
 @pytest.mark.parametrize('value', [None, [], {}, '', True, 'x', -1.5])
-def test_a_field_of_another_type_names_no_endpoint(name, value):
+def test_field_of_the_wrong_type_is_rejected(name, value):
     allowed = {
         'spot': value is True,
         'leaves_ms': value == -1.5,
-        # Any text may name a service or a zone.
+        # Any string is a valid service or zone.
         'service': isinstance(value, str),
         'zone': isinstance(value, str),
     }
@@ -101,19 +101,19 @@
         {'addr': 'elsewhere:80'},
     ],
 )
-def test_values_that_mean_nothing_name_no_endpoint(fields):
+def test_invalid_values_are_rejected(fields):
     with pytest.raises(exceptions.WireFormatError):
         decoding.decode_endpoint('e1', encode(**fields))
 
 
 @given(st.binary() | JSON.map(lambda value: json.dumps(value).encode()))
-def test_anything_else_is_a_coded_error(raw):
+def test_malformed_entry_is_a_coded_error(raw):
     with pytest.raises(exceptions.WireFormatError):
         decoding.decode_endpoint('e1', raw)
 
 
 @given(st.sampled_from(sorted(ENTRY)), JSON)
-def test_any_value_of_a_field_is_decoded_or_a_coded_error(name, value):
+def test_any_field_value_is_decoded_or_a_coded_error(name, value):
     try:
         record = decoding.decode_endpoint('e1', encode(**{name: value}))
     except exceptions.WireFormatError:
@@ -123,26 +123,26 @@
 
 
 @given(st.binary())
-def test_any_record_has_a_key(raw):
+def test_any_record_is_decoded_to_a_text_key(raw):
     assert isinstance(decode_keyed(raw).key, str)
 
 
 @pytest.mark.parametrize(
     'raw', [b'\xff\xfe', b'{}', b'[1]', encode(state='resting')]
 )
-def test_a_malformed_entry_leaves_the_known_ones_alone(raw):
+def test_malformed_entry_does_not_change_known_endpoints(raw):
     follower = make_follower()
-    take(follower, 'e1', encode())
-    take(follower, 'e2', encode())
-    take(follower, 'e1', raw)
+    apply_change(follower, 'e1', encode())
+    apply_change(follower, 'e2', encode())
+    apply_change(follower, 'e1', raw)
     assert find(follower, 'e1').record.state is EndpointState.LIVE
     assert find(follower, 'e2') is not None
 
 
-def test_all_that_is_believed_goes_with_a_new_start():
+def test_restart_discards_the_state_of_the_previous_run():
     follower = make_follower()
     host = follower.host
-    take(follower, 'e1', encode())
+    apply_change(follower, 'e1', encode())
     old = find(follower)
     old.calls = 3
     old.failures = 2
@@ -151,7 +151,7 @@
     now = host.clock.now()
     host.selection.prefixes.note(old.id, parts, now)
     host.loads.put('run', {old.id: Load(5, 700)})
-    take(follower, 'e1', encode(born=LATER))
+    apply_change(follower, 'e1', encode(born=LATER))
     new = find(follower)
     assert (new.calls, new.failures, new.pause) == (0, 0, Pause())
     assert new.id not in host.selection.prefixes.find_cached(parts, now)
@@ -159,37 +159,37 @@
     assert len(host.fleet.of_service('model')) == 1
 
 
-def test_a_stale_entry_never_replaces_a_newer_start():
+def test_stale_entry_never_replaces_a_newer_run():
     follower = make_follower()
-    take(follower, 'e1', encode(born=LATER))
-    take(follower, 'e1', encode(state='draining'))
+    apply_change(follower, 'e1', encode(born=LATER))
+    apply_change(follower, 'e1', encode(state='draining'))
     assert find(follower).record.started_ms == LATER
     assert find(follower).record.state is EndpointState.LIVE
-    # Nor does it after the newer start has left.
+    # The same holds after the newer run has been removed.
     follower.apply_changes([KeyedRecord('e1', None)], 0)
-    take(follower, 'e1', encode())
+    apply_change(follower, 'e1', encode())
     assert find(follower) is None
 
 
-def test_a_drain_of_the_same_start_is_acted_on():
+def test_drain_of_the_current_run_is_applied():
     follower = make_follower()
-    take(follower, 'e1', encode())
-    take(follower, 'e1', encode(state='draining'))
+    apply_change(follower, 'e1', encode())
+    apply_change(follower, 'e1', encode(state='draining'))
     assert find(follower).record.state is EndpointState.LEAVING
     assert follower.host.fleet.of_service('model') == []
 
 
-def test_a_removed_entry_is_waited_for_from_the_stores_return_on():
-    """One that is told late is not waited for later.
+def test_removal_grace_period_starts_at_the_stores_recovery():
+    """A removal that is learnt of late does not extend the grace period.
 
-    A host heard of a removal 1 s after the store had returned, and went on
-    using the endpoint for 1.5 s from then on: longer than 2 s after it had
-    left, where it was the only one.
+    Guards against a grace period that starts when the removal is learnt of:
+    1 s after the store's recovery, 1.5 s more made a host use the service's
+    only endpoint for longer than 2 s after it had left.
     """
 
     async def main():
         follower = make_follower()
-        take(follower, 'e1', encode())
+        apply_change(follower, 'e1', encode())
         clock = follower.host.clock
         follower.recovered_at_ms = clock.now() - 1000
         follower.apply_changes([KeyedRecord('e1', None)], 0)
@@ -201,14 +201,14 @@
     asyncio.run(main())
 
 
-def test_a_new_start_ends_the_wait_for_the_old_ones_entry():
+def test_restart_cancels_the_pending_removal_of_the_previous_run():
     async def main():
         follower = make_follower()
-        take(follower, 'e1', encode())
+        apply_change(follower, 'e1', encode())
         follower.recovered_at_ms = follower.host.clock.now()
         follower.apply_changes([KeyedRecord('e1', None)], 0)
         assert follower.removals
-        take(follower, 'e1', encode(born=LATER))
+        apply_change(follower, 'e1', encode(born=LATER))
         assert not follower.removals
         assert find(follower).record.started_ms == LATER
 
--- a/tests/test_late_drains.py
+++ b/tests/test_late_drains.py
@@ -1,26 +1,16 @@
-"""How long a host may go on using an endpoint that has begun to leave.
-
-A host passed a call on to an endpoint 2.2 s after the store had
-acknowledged that it leaves, where 2 s are allowed.  No line of that time
-told of a lost store, a lost peer or a failed call.
-
-A read that waits for changes may miss a record that is appended in the
-millisecond in which it arrives, and answers only at the end of its wait.
-A host then learns of a drain with the next record, or when the wait ends.
-When 37 drains were played, one host of nine learnt of one drain 1,408 ms
-after the others, with the next change, though it had been asking all along:
-
-    52.4141 front-khomas-a-3 endpoint removed i-f0358c5a64
-    52.5728 front-khomas-a-1 endpoint state i-c8ebc39db5 leaving
-    52.5748 front-khomas-b-2 endpoint state i-c8ebc39db5 leaving
-    53.9801 front-khomas-a-3 endpoint state i-c8ebc39db5 leaving
-
-Its next read arrived 158 ms after the first line, when its pause of 150 ms
-was over.  A shorter wait bounds one such read.  A host that is told by
-another one waited for silence besides, 0.75 of the time allowed, from the
-last news on: 800 ms of a read and 1,500 ms of silence made 2,309 ms.  Hosts
-therefore know how old the list is, whoever read it, and read for themselves
-when it is too old, without a wait.
+"""Time until a host stops using an endpoint that is draining.
+
+Guards against calls sent to an endpoint later than 2 s after the store
+acknowledged its drain; 2.2 s were seen, without any store, peer or call
+failure.  A long poll may miss a record that is appended in the millisecond in
+which the poll arrives, and then responds only at the end of its wait: in 37
+drains on nine hosts, one host learnt of one drain 1,408 ms after the others.
+
+A shorter wait bounds the delay of one such read.  A host that relied on
+another one's reads also waited until nothing was forwarded for 0.75 of the
+allowed time: 800 ms of a read and 1,500 ms without news made 2,309 ms.  Hosts
+therefore track the age of the list, whoever read it, and read the store
+themselves without a wait when it is too old.
 """
 
 import asyncio
@@ -43,12 +33,12 @@
 
 
 class ScriptedStore:
-    """A log of endpoints whose waiting reads miss what comes meanwhile.
+    """Fake store whose long polls miss records appended meanwhile.
 
-    :param drain_at_read: the drain is appended as this read arrives, the
-        first one being 1; 0 for never.
+    :param drain_at_read: number of the read during which the drain is
+        appended, counted from 1; 0 for none.
     :param failing_reads: numbers of reads that fail at once.
-    :param hung_reads: numbers of reads that get no answer.
+    :param hung_reads: numbers of reads that get no response.
     """
 
     def __init__(self, drain_at_read=0, failing_reads=(), hung_reads=()):
@@ -80,18 +70,18 @@
         return found, start + len(found)
 
     def drain(self):
-        """Append that the endpoint leaves."""
+        """Append the endpoint's drain to the log."""
         self.records.append(make_record('draining'))
         self.drained_ms = self.clock.now()
 
 
 def make_record(state):
-    """Return the record of the one endpoint in a state."""
+    """Return the record of the only endpoint in a given state."""
     return KeyedRecord('e1', json.dumps({**ENTRY, 'state': state}).encode())
 
 
 def make_follower(store):
-    """Return the follower of a host that another one reads for."""
+    """Return the follower of a host whose zone is read by another host."""
     host = make_host_context()
     host.feed.followed = True
     return EndpointFollower(host, store)
@@ -105,8 +95,8 @@
     return store.clock.since(store.drained_ms)
 
 
-async def tell_late(follower, store):
-    """Have another host pass on a read that missed a drain, and no more."""
+async def forward_late_read(follower, store):
+    """Forward one read of another host that missed the drain, then none."""
     await wait_until(lambda: follower.host.fleet.of_service('model'))
     position = len(store.records)
     waited_ms = follower.wait_ms
@@ -115,19 +105,19 @@
     follower.host.feed.offer(TopicFeed(position, position, (), waited_ms))
 
 
-async def fall_silent(follower, store):
-    """Have the host that reads fall silent just before a drain."""
+async def stop_forwarding(follower, store):
+    """Forward an empty read just before the drain, then none."""
     await wait_until(lambda: follower.host.fleet.of_service('model'))
     position = len(store.records)
     follower.host.feed.offer(TopicFeed(position, position, (), 0))
     store.drain()
 
 
-def play(store, script=None):
+def measure_drain(store, script=None):
     """Run a follower until it has acted on the drain.
 
-    :param script: called with the follower and the store.
-    :returns: the time that took, and the time allowed, in milliseconds.
+    :param script: coroutine function, called with the follower and the store.
+    :returns: the time taken and the time allowed, in milliseconds.
     """
 
     async def main():
@@ -149,26 +139,34 @@
     ('store', 'script'),
     [
         pytest.param(
-            ScriptedStore(drain_at_read=1), None, id='own read missed it'
+            ScriptedStore(drain_at_read=1),
+            None,
+            id='own read missed the drain',
+        ),
+        pytest.param(
+            ScriptedStore(),
+            forward_late_read,
+            id='forwarded read missed the drain',
         ),
-        pytest.param(ScriptedStore(), tell_late, id='reader missed it'),
         pytest.param(
             ScriptedStore(drain_at_read=1, failing_reads=(2,)),
             None,
             id='a read failed',
         ),
         pytest.param(
-            ScriptedStore(hung_reads=(1,)), fall_silent, id='a read hung'
+            ScriptedStore(hung_reads=(1,)), stop_forwarding, id='a read hung'
         ),
     ],
 )
-def test_a_drain_is_known_in_time_without_the_host_that_reads(store, script):
-    took_ms, allowed_ms = play(store, script)
+def test_drain_is_applied_in_time_despite_missed_and_failed_reads(
+    store, script
+):
+    took_ms, allowed_ms = measure_drain(store, script)
     assert took_ms < allowed_ms
 
 
-def test_hosts_leave_the_store_to_a_reader_that_is_heard():
-    """The limit on a list's age leaves room for a quiet reader's news."""
+def test_hosts_do_not_read_the_store_while_a_reader_is_heard():
+    """The maximum list age must exceed a reading host's long-poll wait."""
 
     async def main():
         async with run_site(make_config(), [('p1', 'plain')], hosts=3) as site:
@@ -190,8 +188,8 @@
     asyncio.run(main())
 
 
-def test_a_read_that_hangs_is_given_up_soon():
-    """Another one follows, which may take longer: the store may be slow."""
+def test_hung_read_times_out_soon():
+    """The next read gets a longer timeout, as the store may just be slow."""
 
     async def main():
         async with run_site(make_config(), [('p1', 'plain')]) as site:
--- a/tests/test_platform_adapter.py
+++ b/tests/test_platform_adapter.py
@@ -1,4 +1,4 @@
-"""Settings, decoding and messages at the edge of the platform."""
+"""Settings, decoding and peer messages of the platform adapter."""
 
 import asyncio
 import json
@@ -88,7 +88,7 @@
 
 
 def decode_config(**fields):
-    """Decode a configuration made by the stand-in site."""
+    """Return the decoded configuration of the stand-in site."""
     raw = json.dumps(make_config(**fields)).encode()
     return decoding.decode_configuration(raw)
 
@@ -102,7 +102,7 @@
     assert config.find_customer('nobody') is None
 
 
-def test_only_repeatable_routes_are_repeatable():
+def test_only_idempotent_and_resumable_routes_are_retried():
     routes = {route.name: route for route in decode_config().routes}
     assert routes['safe'].repeatable
     assert routes['long'].repeatable
@@ -121,7 +121,7 @@
         decoding.decode_endpoint('e', raw)
 
 
-def test_endpoint_entries():
+def test_endpoint_entry_fields_are_decoded():
     raw = {'service': 's', 'addr': '10.0.0.1:1', 'zone': 'z', 'slots': 8}
     raw['state'] = 'draining'
     entry = decoding.decode_endpoint(
@@ -142,7 +142,7 @@
     return Request(b'GET', b'/long/x?y=/z', pairs, received_ms=1000)
 
 
-def test_a_call_has_the_earlier_of_deadline_and_timeout():
+def test_call_timeout_is_the_earlier_of_deadline_and_route_timeout():
     config = decode_config()
     call = codec.decode_call(make_request(Pearrun_Deadline_Ms='700'), config)
     assert call.timeout_at_ms == 1700
@@ -151,7 +151,7 @@
     assert call.deadline_ms == 10_000
 
 
-def test_units_are_tokens_or_the_plain_count():
+def test_quota_units_are_tokens_or_the_default_count():
     config = decode_config()
     headers = {
         'Pearrun_Token_Count': '1460,80',
@@ -183,7 +183,7 @@
     assert decode_keyed(b'\x03key').value is None
 
 
-def test_events_are_cut_whole_wherever_the_bytes_are_split():
+def test_events_are_complete_wherever_the_bytes_are_split():
     stream = b'id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\nda'
     for size in range(1, 12):
         cutter = EventCutter()
@@ -196,7 +196,7 @@
         assert cutter.rest == b'id: 3\nda'
 
 
-def test_reports_survive_the_wire():
+def test_reports_are_decoded_as_they_were_encoded():
     report = reports.HostReport(
         run=RUN,
         number=2,
@@ -233,7 +233,7 @@
 
 
 class StepClock:
-    """A clock whose time of day can be stepped."""
+    """A clock whose wall time can be stepped."""
 
     def __init__(self):
         self.step_ms = 0
@@ -245,7 +245,7 @@
         return 1_000_000 + self.step_ms
 
 
-def test_a_stepped_clock_follows_the_median_of_all_hosts():
+def test_stepped_clock_follows_the_median_of_all_hosts():
     clock = StepClock()
     time = CorrectedClock(clock)
     for host in 'abcd':
@@ -258,7 +258,7 @@
     assert time.wall() == 1_000_000
 
 
-def test_usage_of_a_killed_run_stays_and_the_next_run_adds_to_it():
+def test_usage_of_a_killed_run_is_kept_and_added_to_by_the_next_run():
     board = UsageBoard()
     board.put('h', 1, {5: {'anna': 3}})
     board.put('h', 1, {5: {'anna': 4}})
@@ -269,7 +269,7 @@
 
 
 class FakeMessage:
-    """What loguru hands to a sink, as far as it is used."""
+    """The attributes of a loguru message that the log writer uses."""
 
     def __init__(self, text):
         moment = type('Moment', (), {'timestamp': lambda self: 1.0})()
@@ -296,7 +296,7 @@
     assert log.dropped_total == 2000 - (len(lines) - 1)
 
 
-def test_a_reader_that_stalls_never_blocks_the_log():
+def test_stalled_reader_never_blocks_the_log():
     reader, writer = os.pipe()
     log = BoundedWriter(writer, clock=lambda: 0.0)
     log._allowance = 1e9
@@ -309,7 +309,7 @@
         json.loads(line)
 
 
-def test_a_silent_store_ends_a_call_and_an_answer_ends_waiting_reads():
+def test_silent_store_times_out_calls_and_recovery_aborts_long_polls():
     async def main():
         site = StandinSite(
             f'127.0.0.1:{free_port()}', f'127.0.0.1:{free_port()}'
@@ -333,12 +333,13 @@
 
 
 @pytest.mark.parametrize('module', ['site', 'h11'])
-def test_a_settings_signal_during_the_start_does_not_end_the_process(
-    module, tmp_path
-):
-    """The search for packages and the imports take most of the start.
+def test_sighup_during_startup_does_not_end_the_process(module, tmp_path):
+    """SIGHUP must be ignored while packages are found and imported.
 
-    :param module: one whose import has just ended when the signal comes.
+    This takes most of the startup time, and the default action of SIGHUP ends
+    the process.
+
+    :param module: the signal is sent when the import of this module ends.
     """
     settings = tmp_path / 'boot.toml'
     settings.write_text('node = 1')
--- a/tests/test_platform_path.py
+++ b/tests/test_platform_path.py
@@ -1,4 +1,4 @@
-"""The whole path on the platform's wire: caller, host, endpoint."""
+"""End-to-end tests of calls through a host, on the platform's protocol."""
 
 import asyncio
 
@@ -17,8 +17,8 @@
 from tests.platformsite import wait_until
 
 
-def play(scenario, **site):
-    """Run a scenario, called with the site and its first host."""
+def run_scenario(scenario, **site):
+    """Run a scenario, called with a site and its first host."""
 
     async def main():
         site.setdefault('config', make_config())
@@ -29,28 +29,28 @@
 
 
 PLAIN = [('p1', 'plain')]
-PLAIN_TWO = [('p1', 'plain'), ('p2', 'plain')]
-MODEL_TWO = [('m1', 'model'), ('m2', 'model')]
+TWO_PLAIN = [('p1', 'plain'), ('p2', 'plain')]
+TWO_MODEL = [('m1', 'model'), ('m2', 'model')]
 
 
-def test_plain_answer_is_passed_on_whole():
+def test_plain_response_is_forwarded_completely():
     async def scenario(site, host):
-        answer = await call(
+        response = await call(
             host, '/once/x?q=1', 'a1', 'POST', b'body', Content_Type='a/b'
         )
-        assert answer.status == 200
-        assert answer.body == b'answer to /once/x?q=1'
-        assert answer.head.get(b'pearrun-runner-seal') == 'seal.p1.a1'
+        assert response.status == 200
+        assert response.body == b'answer to /once/x?q=1'
+        assert response.head.get(b'pearrun-runner-seal') == 'seal.p1.a1'
         (run,) = site.runners['p1'].runs
         assert run.request.method == b'POST'
         assert run.request.target == b'/once/x?q=1'
         assert run.request.body == b'body'
         assert run.request.get(b'content-type') == 'a/b'
 
-    play(scenario, runners=PLAIN)
+    run_scenario(scenario, runners=PLAIN)
 
 
-def test_system_headers_are_ours_and_the_key_stays_here():
+def test_reserved_headers_and_the_api_key_are_not_forwarded():
     async def scenario(site, host):
         await call(
             host,
@@ -77,10 +77,10 @@
         ):
             assert run.request.get(name) is None
 
-    play(scenario, runners=PLAIN)
+    run_scenario(scenario, runners=PLAIN)
 
 
-def test_deadline_passed_on_is_what_is_left():
+def test_forwarded_deadline_is_the_remaining_time():
     async def scenario(site, host):
         await call(host, '/once/x', 'a1', deadline_ms=700)
         await call(host, '/once/x', 'a2', deadline_ms=60_000)
@@ -89,7 +89,7 @@
         # The route's timeout is shorter than what the caller allows.
         assert int(second.request.get(b'pearrun-deadline-ms')) <= 3000
 
-    play(scenario, runners=PLAIN)
+    run_scenario(scenario, runners=PLAIN)
 
 
 def test_unknown_route_key_and_id_are_refused():
@@ -98,25 +98,25 @@
         assert (await call(host, '/once/', 'a2', key='wrong')).status == 401
         assert (await call(host, '/once/', 'a3', key=None)).status == 401
         assert (await call(host, '/open/', 'a4', key=None)).status == 200
-        answer = await call(host, '/once/', '')
-        assert answer.status == 400
-        assert answer.json()['error']['code'] == 1200
+        response = await call(host, '/once/', '')
+        assert response.status == 400
+        assert response.json()['error']['code'] == 1200
 
-    play(scenario, runners=PLAIN)
+    run_scenario(scenario, runners=PLAIN)
 
 
-def test_without_a_configuration_calls_are_told_to_come_back():
+def test_calls_without_a_configuration_get_retry_after():
     async def scenario(site, host):
-        answer = await call(host, '/once/', 'a1')
-        assert answer.status == 503
-        assert float(answer.head.get(b'retry-after')) > 0
+        response = await call(host, '/once/', 'a1')
+        assert response.status == 503
+        assert float(response.head.get(b'retry-after')) > 0
         assert not host.host.is_ready()
 
-    play(scenario, config=None)
+    run_scenario(scenario, config=None)
 
 
-def test_unknown_keys_are_refused_for_good_while_the_store_answers():
-    """A read that waits for changes must not make the list look old."""
+def test_unknown_keys_are_rejected_while_the_store_responds():
+    """A long poll without changes must not make the configuration stale."""
 
     async def scenario(site, host):
         await asyncio.sleep(4.5)
@@ -126,10 +126,10 @@
         await asyncio.sleep(5.0)
         assert (await call(host, '/once/', 'a2', key='gone')).status == 503
 
-    play(scenario, runners=PLAIN)
+    run_scenario(scenario, runners=PLAIN)
 
 
-def test_longest_prefix_wins_and_newer_versions_take_over():
+def test_newer_configuration_versions_replace_older_ones():
     async def scenario(site, host):
         config = make_config(2)
         config['routes'][0]['path_prefix'] = '/moved/'
@@ -141,34 +141,34 @@
         await asyncio.sleep(0.1)
         assert host.host.config.version == 2
 
-    play(scenario, runners=PLAIN)
+    run_scenario(scenario, runners=PLAIN)
 
 
-def test_refused_by_a_full_endpoint_goes_to_another_one():
+def test_call_refused_by_a_full_endpoint_goes_to_another_one():
     async def scenario(site, host):
         site.runners['p1'].faults.full = True
         for number in range(4):
-            answer = await call(host, '/once/', f'a{number}')
-            assert answer.status == 200
+            response = await call(host, '/once/', f'a{number}')
+            assert response.status == 200
         assert len(site.runners['p2'].runs) == 4
 
-    play(scenario, runners=PLAIN_TWO)
+    run_scenario(scenario, runners=TWO_PLAIN)
 
 
-def test_all_endpoints_full_is_a_promise_not_to_run():
+def test_call_refused_by_all_endpoints_is_reported_as_not_run():
     async def scenario(site, host):
         for runner in site.runners.values():
             runner.faults.full = True
-        answer = await call(host, '/once/', 'a1')
-        assert answer.status == 503
-        assert answer.json()['error']['not_run'] is True
+        response = await call(host, '/once/', 'a1')
+        assert response.status == 503
+        assert response.json()['error']['not_run'] is True
         assert not any(runner.runs for runner in site.runners.values())
 
-    play(scenario, runners=PLAIN_TWO)
+    run_scenario(scenario, runners=TWO_PLAIN)
 
 
-def test_endpoints_that_cannot_be_reached_cost_no_repeat_budget():
-    """Nothing arrived there, so nothing is repeated."""
+def test_unreachable_endpoints_consume_no_retry_budget():
+    """Nothing was sent to them, so the next attempt is no retry."""
 
     async def scenario(site, host):
         site.runners['p1'].server.close()
@@ -180,74 +180,75 @@
             assert (await call(host, '/once/', f'a{number}')).status == 200
         assert len(site.runners['p2'].runs) == 6
 
-    play(scenario, runners=PLAIN_TWO)
+    run_scenario(scenario, runners=TWO_PLAIN)
 
 
 def test_address_reused_by_another_endpoint_is_dropped():
     async def scenario(site, host):
         site.runners['p1'].id = 'p1-reborn'
         for number in range(3):
-            answer = await call(host, '/once/', f'a{number}')
-            assert answer.status == 200
+            response = await call(host, '/once/', f'a{number}')
+            assert response.status == 200
         assert 'p1' not in host.host.fleet.endpoints
 
-    play(scenario, runners=PLAIN_TWO)
+    run_scenario(scenario, runners=TWO_PLAIN)
 
 
-def test_non_idempotent_call_with_a_lost_answer_runs_once():
+def test_non_idempotent_call_with_a_lost_response_runs_once():
     async def scenario(site, host):
         for runner in site.runners.values():
             runner.faults.reset_before = True
-        answer = await call(host, '/once/', 'a1', 'POST')
-        assert answer.status == 502
-        assert answer.json()['error']['not_run'] is False
+        response = await call(host, '/once/', 'a1', 'POST')
+        assert response.status == 502
+        assert response.json()['error']['not_run'] is False
         assert sum(len(r.runs) for r in site.runners.values()) == 1
 
-    play(scenario, runners=PLAIN_TWO)
+    run_scenario(scenario, runners=TWO_PLAIN)
 
 
-def test_idempotent_call_with_a_lost_answer_runs_again():
+def test_idempotent_call_with_a_lost_response_is_retried():
     async def scenario(site, host):
         site.runners['p1'].faults.reset_before = True
         for number in range(4):
-            answer = await call(host, '/safe/', f'a{number}')
-            assert answer.status == 200
+            response = await call(host, '/safe/', f'a{number}')
+            assert response.status == 200
 
-    play(scenario, runners=PLAIN_TWO)
+    run_scenario(scenario, runners=TWO_PLAIN)
 
 
-def test_a_call_that_failed_goes_back_to_an_endpoint_that_was_slow(
+def test_failed_call_is_retried_on_an_endpoint_that_was_slow(
     monkeypatch,
 ):
-    """One of two endpoints is slow to accept once; the other one resets.
+    """A call must use an endpoint again that timed out on connect once.
 
-    The call was given up with 502, "no endpoint", 0.3 s after it came,
-    though the first endpoint would have taken it by then.
+    Guards against a call that fails with 502, "no endpoint", 0.3 s after its
+    arrival: one of two endpoints was slow to accept, the other one reset the
+    connection, and the first one would have accepted by then.
     """
 
     async def scenario(site, host):
         site.runners['p1'].faults.reset_before = True
         slow = site.runners['p2'].address
         connect = client.connect
-        refused = []
+        timed_out = []
 
         async def connect_slowly_once(address, *limits):
-            if address == slow and not refused:
-                refused.append(address)
+            if address == slow and not timed_out:
+                timed_out.append(address)
                 raise exceptions.EndpointSilentError('connect timed out')
             return await connect(address, *limits)
 
         monkeypatch.setattr(client, 'connect', connect_slowly_once)
-        # Which endpoint a call goes to first is left to the host.
+        # The host chooses which endpoint receives a call first.
         for number in range(4):
-            answer = await call(host, '/safe/', f'a{number}')
-            assert answer.status == 200
-        assert refused
+            response = await call(host, '/safe/', f'a{number}')
+            assert response.status == 200
+        assert timed_out
 
-    play(scenario, runners=PLAIN_TWO)
+    run_scenario(scenario, runners=TWO_PLAIN)
 
 
-def test_idempotent_call_failed_by_one_endpoint_is_mended_by_another():
+def test_idempotent_call_failed_by_one_endpoint_is_retried_on_another():
     async def scenario(site, host):
         site.runners['p1'].faults.status = 500
         statuses = set()
@@ -255,14 +256,14 @@
             statuses.add((await call(host, '/safe/', f'a{number}')).status)
         assert statuses == {200}
         site.runners['p2'].faults.status = 500
-        answer = await call(host, '/safe/', 'b')
-        assert answer.status == 500
-        assert answer.head.get(b'pearrun-runner-seal') is not None
+        response = await call(host, '/safe/', 'b')
+        assert response.status == 500
+        assert response.head.get(b'pearrun-runner-seal') is not None
 
-    play(scenario, runners=PLAIN_TWO)
+    run_scenario(scenario, runners=TWO_PLAIN)
 
 
-def test_truncated_and_unsealed_answers_never_look_whole():
+def test_truncated_and_unsealed_responses_are_errors():
     async def scenario(site, host):
         faults = site.runners['p1'].faults
         faults.truncate = True
@@ -271,76 +272,76 @@
         faults.unsealed = True
         assert (await call(host, '/once/', 'a2')).status == 502
 
-    play(scenario, runners=PLAIN)
+    run_scenario(scenario, runners=PLAIN)
 
 
-def test_answer_without_a_length_is_passed_on_whole():
+def test_response_without_a_length_is_forwarded_completely():
     async def scenario(site, host):
         site.runners['p1'].faults.unframed = True
-        answer = await call(host, '/once/x', 'a1')
-        assert answer.status == 200
-        assert answer.body == b'answer to /once/x'
-        assert answer.complete
+        response = await call(host, '/once/x', 'a1')
+        assert response.status == 200
+        assert response.body == b'answer to /once/x'
+        assert response.complete
 
-    play(scenario, runners=PLAIN)
+    run_scenario(scenario, runners=PLAIN)
 
 
-def test_extra_and_stray_answers_reach_nobody():
+def test_extra_and_stray_responses_are_dropped():
     async def scenario(site, host):
         faults = site.runners['p1'].faults
         faults.extra = True
         for number in range(5):
-            answer = await call(host, '/once/x', f'a{number}')
-            assert answer.body == b'answer to /once/x'
+            response = await call(host, '/once/x', f'a{number}')
+            assert response.body == b'answer to /once/x'
         faults.extra = False
         faults.stray_first = True
         for number in range(5):
-            answer = await call(host, '/once/x', f'b{number}')
-            assert answer.body == b'answer to /once/x'
+            response = await call(host, '/once/x', f'b{number}')
+            assert response.body == b'answer to /once/x'
         assert len(site.runners['p1'].runs) == 10
 
-    play(scenario, runners=PLAIN)
+    run_scenario(scenario, runners=PLAIN)
 
 
-def test_stream_is_passed_on_event_by_event():
+def test_stream_is_forwarded_completely():
     async def scenario(site, host):
-        answer = await call(host, '/long/', 'a1', 'POST', **make_prompt())
-        assert answer.status == 200
-        assert answer.complete
-        assert list_events(answer) == [1, 2, 3, 4, 5]
+        response = await call(host, '/long/', 'a1', 'POST', **make_prompt())
+        assert response.status == 200
+        assert response.complete
+        assert list_events(response) == [1, 2, 3, 4, 5]
 
-    play(scenario, runners=MODEL_TWO)
+    run_scenario(scenario, runners=TWO_MODEL)
 
 
-def test_resumable_stream_goes_on_at_another_endpoint():
+def test_resumable_stream_resumes_at_another_endpoint():
     async def scenario(site, host):
         for runner in site.runners.values():
             runner.faults.cut_after = 3
             runner.faults.torn = True
-        answer = await call(host, '/long/', 'a1', 'POST', **make_prompt())
-        assert answer.complete
-        assert list_events(answer) == [1, 2, 3, 4, 5]
+        response = await call(host, '/long/', 'a1', 'POST', **make_prompt())
+        assert response.complete
+        assert list_events(response) == [1, 2, 3, 4, 5]
         runs = [run for r in site.runners.values() for run in r.runs]
         assert sorted(run.last_event_id for run in runs) == [0, 3]
 
-    play(scenario, runners=MODEL_TWO)
+    run_scenario(scenario, runners=TWO_MODEL)
 
 
-def test_other_streams_break_off_visibly_and_run_once():
+def test_non_resumable_streams_are_truncated_and_run_once():
     async def scenario(site, host):
         for runner in site.runners.values():
             runner.faults.cut_after = 2
             runner.faults.torn = True
-        answer = await call(host, '/short/', 'a1', 'POST', **make_prompt())
-        assert answer.status == 200
-        assert not answer.complete
-        assert list_events(answer) == [1, 2]
+        response = await call(host, '/short/', 'a1', 'POST', **make_prompt())
+        assert response.status == 200
+        assert not response.complete
+        assert list_events(response) == [1, 2]
         assert sum(len(r.runs) for r in site.runners.values()) == 1
 
-    play(scenario, runners=MODEL_TWO)
+    run_scenario(scenario, runners=TWO_MODEL)
 
 
-def test_route_timeout_is_answered_at_once():
+def test_route_timeout_is_reported_at_once():
     async def scenario(site, host):
         config = make_config(2)
         config['routes'][0]['timeout_ms'] = 200
@@ -348,33 +349,33 @@
         await wait_until(lambda: host.host.config.version == 2)
         site.runners['p1'].work_ms = 2000
         began = host.clock.now()
-        answer = await call(host, '/once/', 'a1')
-        assert answer.status == 504
+        response = await call(host, '/once/', 'a1')
+        assert response.status == 504
         assert 150 < host.clock.since(began) < 500
         await wait_until(lambda: site.runners['p1'].runs[0].cancelled)
 
-    play(scenario, runners=PLAIN)
+    run_scenario(scenario, runners=PLAIN)
 
 
 class SilentPool:
-    """Pool of an endpoint behind a cut path: no connection ever stands."""
+    """Pool of an unreachable endpoint: no connection is ever opened."""
 
     async def take(self):
         await asyncio.Event().wait()
 
 
-def test_timeout_before_anything_was_sent_promises_that_it_has_not_run():
+def test_timeout_before_sending_is_reported_as_not_run():
     async def scenario(site, host):
         host.host.pools.get = lambda record, service: SilentPool()
-        answer = await call(host, '/once/', 'a1', deadline_ms=200)
-        assert answer.status == 503
-        assert answer.json()['error']['not_run'] is True
-        assert float(answer.head.get(b'retry-after')) >= 0
+        response = await call(host, '/once/', 'a1', deadline_ms=200)
+        assert response.status == 503
+        assert response.json()['error']['not_run'] is True
+        assert float(response.head.get(b'retry-after')) >= 0
 
-    play(scenario, runners=PLAIN)
+    run_scenario(scenario, runners=PLAIN)
 
 
-def test_caller_that_leaves_stops_the_endpoints_work():
+def test_disconnected_caller_cancels_the_endpoints_work():
     async def scenario(site, host):
         site.runners['p1'].work_ms = 3000
         connection = await client.connect(
@@ -385,21 +386,21 @@
         connection.abort()
         await wait_until(lambda: site.runners['p1'].runs[0].cancelled, 0.5)
 
-    play(scenario, runners=PLAIN)
+    run_scenario(scenario, runners=PLAIN)
 
 
-def test_host_that_ends_is_taken_off_the_list_of_hosts():
+def test_host_that_shuts_down_is_removed_from_the_list():
     async def scenario(site, host):
         second = site.hosts['host-2']
         await wait_until(lambda: len(host.host.members.others()) == 1)
         await second.shut_down()
         await wait_until(lambda: not host.host.members.others())
 
-    play(scenario, hosts=2)
+    run_scenario(scenario, hosts=2)
 
 
-def test_host_taken_off_the_list_while_it_runs_comes_back():
-    """A removal that the store does late may hit the next run."""
+def test_running_host_removed_from_the_list_registers_again():
+    """A removal that the store executes late may affect the next run."""
 
     async def scenario(site, host):
         listed = host.host.members.members
@@ -410,11 +411,11 @@
         await wait_until(lambda: 'host-2' in listed)
         assert listed['host-2'] == before
 
-    play(scenario, hosts=2)
+    run_scenario(scenario, hosts=2)
 
 
-def test_host_that_is_silent_for_long_is_taken_off_the_list(monkeypatch):
-    """One that lost its power cannot do so itself."""
+def test_host_that_is_silent_for_long_is_removed_from_the_list(monkeypatch):
+    """A host that crashed cannot deregister itself."""
 
     async def scenario(site, host):
         hosts = list(site.hosts.values())
@@ -425,16 +426,16 @@
         await host.store.put('hosts', 'gone', membership.encode(member))
         await wait_until(lambda: 'gone' in members.members)
         await asyncio.sleep(1.2)
-        # Any change ends the wait of the read before the next look.
+        # Any change ends the long poll that precedes the next check.
         await host.store.put('hosts', 'host-0', membership.encode(member))
         await wait_until(lambda: 'gone' not in members.members)
         assert {'host-1', 'host-2', 'host-3'} <= set(members.members)
 
-    play(scenario, hosts=3)
+    run_scenario(scenario, hosts=3)
 
 
-def test_a_drain_that_a_waiting_read_missed_is_known_in_time():
-    """The record is appended as the read arrives, which does not see it."""
+def test_drain_missed_by_a_long_poll_is_applied_in_time():
+    """The record is appended as the read arrives, which misses it."""
 
     async def main():
         async with run_site(make_config(), PLAIN) as site:
@@ -442,7 +443,7 @@
             first = site.runners['p1']
             await asyncio.sleep(0.4)
             site.store.faults.missed_records = True
-            # A change ends the read that waits now; the next one misses.
+            # A change ends the current long poll; the next read misses one.
             site.list_runner(first)
             await asyncio.sleep(0.4)
             first.state = 'draining'
@@ -457,12 +458,12 @@
     asyncio.run(main())
 
 
-def test_a_configuration_that_a_lone_hosts_read_missed_is_in_force_in_time():
-    """Nobody passes it on; the read went on waiting for up to 25 s."""
+def test_configuration_missed_by_a_single_hosts_read_is_in_force_in_time():
+    """No other host forwards it; the long poll used to last up to 25 s."""
 
     async def scenario(site, host):
         site.store.faults.missed_records = True
-        # A change ends the read that waits now; the next one misses.
+        # A change ends the current long poll; the next read misses one.
         site.configure(make_config(2))
         await wait_until(lambda: host.host.config.version == 2)
         await asyncio.sleep(0.2)
@@ -471,13 +472,14 @@
         await wait_until(lambda: host.host.config.version == 3)
         assert host.clock.since(written_ms) < host.settings.config_ms
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_one_silent_connection_to_an_endpoint_costs_one_call(monkeypatch):
-    """Several connections go silent at once; one call finds out.
+def test_dead_connections_to_an_endpoint_fail_one_call_only(monkeypatch):
+    """Idle connections to an endpoint go dead at once, failing one call only.
 
-    Calls that may not be repeated were lost on each of them, one by one.
+    Guards against non-idempotent calls that fail one after the other, one on
+    each dead connection.
     """
 
     async def scenario(site, host):
@@ -486,21 +488,21 @@
             *(call(host, '/once/', f'a{number}') for number in range(3))
         )
         read_head = client.ClientConnection.read_head
-        silenced = set(list_idle(host))
-        assert len(silenced) == 3
+        dead = set(list_idle(host))
+        assert len(dead) == 3
 
-        async def read_unless_silenced(connection):
-            if connection in silenced:
+        async def read_unless_dead(connection):
+            if connection in dead:
                 raise exceptions.ConnectionBrokenError('silent', True)
             return await read_head(connection)
 
         monkeypatch.setattr(
-            client.ClientConnection, 'read_head', read_unless_silenced
+            client.ClientConnection, 'read_head', read_unless_dead
         )
         assert (await call(host, '/once/', 'b')).status == 502
         assert (await call(host, '/once/', 'c')).status == 200
 
-    play(scenario, runners=PLAIN)
+    run_scenario(scenario, runners=PLAIN)
 
 
 def list_idle(daemon):
@@ -527,10 +529,10 @@
         await wait_until(lambda: not host.host.fleet.of_service('plain'))
         assert (await call(host, '/once/', 'b')).status == 503
 
-    play(scenario, runners=PLAIN_TWO)
+    run_scenario(scenario, runners=TWO_PLAIN)
 
 
-def test_expired_history_is_read_anew_from_the_newest_records():
+def test_expired_history_is_replaced_by_a_new_snapshot():
     async def scenario(site, host):
         site.store.put('servers', 'p1', None)
         site.store.forget_history('keyed.servers')
@@ -540,10 +542,10 @@
             lambda: set(host.host.fleet.endpoints) == {'p2', 'p9'}
         )
 
-    play(scenario, runners=PLAIN_TWO)
+    run_scenario(scenario, runners=TWO_PLAIN)
 
 
-def test_host_removed_in_expired_history_is_forgotten():
+def test_host_removed_in_expired_history_is_removed():
     async def scenario(site, host):
         members = host.host.members
         member = Member('gone', '127.0.9.9:1', 'zone-a', 1)
@@ -553,10 +555,10 @@
         site.store.forget_history('keyed.hosts')
         await wait_until(lambda: 'gone' not in members.members)
 
-    play(scenario, runners=PLAIN_TWO)
+    run_scenario(scenario, runners=TWO_PLAIN)
 
 
-def test_store_outage_stops_nothing():
+def test_calls_and_readiness_survive_a_store_outage():
     async def scenario(site, host):
         site.store.faults.status = 503
         await asyncio.sleep(0.3)
@@ -566,10 +568,10 @@
         site.configure(make_config(5))
         await wait_until(lambda: host.host.config.version == 5)
 
-    play(scenario, runners=PLAIN)
+    run_scenario(scenario, runners=PLAIN)
 
 
-def test_stop_finishes_what_was_begun_and_takes_nothing_late():
+def test_shutdown_finishes_open_requests_and_closes_idle_connections():
     async def scenario(site, host):
         site.runners['p1'].work_ms = 600
         connection = await client.connect(
@@ -587,13 +589,13 @@
         await leaving
         await wait_until(lambda: idle.ended)
 
-    play(scenario, runners=PLAIN)
+    run_scenario(scenario, runners=PLAIN)
 
 
-def list_events(answer):
-    """Return the ids of a stream's whole events."""
+def list_events(response):
+    """Return the ids of a stream's events."""
     return [
         int(line[4:])
-        for line in answer.body.decode().split('\n')
+        for line in response.body.decode().split('\n')
         if line.startswith('id: ')
     ]
