--- a/pearrun/platform/frontend.py
+++ b/pearrun/platform/frontend.py
@@ -17,7 +17,7 @@
 class Frontend:
     """Handles callers' requests.
 
-    :param host: shared objects of this host.
+    :param host: the :class:`HostContext`.
     :param relay: the :class:`Relay`.
     """
 
