--- a/pearrun/platform/daemon.py
+++ b/pearrun/platform/daemon.py
@@ -34,8 +34,8 @@
 from pearrun.shared.host import HostContext
 from pearrun.shared.members import Member
 from pearrun.shared.peerlinks import PeerLinks
-from pearrun.shared.reportboard import ReportBoard
 from pearrun.shared.reporter import Reporter
+from pearrun.shared.reportreceiver import ReportReceiver
 from pearrun.shared.scaler import Scaler
 
 METRICS_PORT = 9464
@@ -73,11 +73,11 @@
         self.ready = Server(Readiness(self.host).handle)
         self.metrics = Server(self.serve_metrics)
         self.started_ms = self.clock.wall()
-        self.reports = ReportBoard(self.host, decode_configuration)
+        self.reports = ReportReceiver(self.host, decode_configuration)
         self.reporter = Reporter(self.host, self.started_ms, self.reports)
-        self.host.forget_host = self.reports.forget
-        self.host.selection.tell_others = self.reporter.tell_at_once
-        self.host.quarantine.tell_others = self.reporter.tell_at_once
+        self.host.remove_host_reports = self.reports.remove_host
+        self.host.selection.tell_others = self.reporter.trigger_round
+        self.host.quarantine.tell_others = self.reporter.trigger_round
         self.duties = self.make_duties()
         self.members = MemberFollower(
             self.host, self.store, self.own_entry(), self.holds_lease
--- a/pearrun/platform/membership.py
+++ b/pearrun/platform/membership.py
@@ -72,7 +72,7 @@
 
     def due_ms(self):
         """See :class:`SharedFollower`."""
-        if self.host.feed.is_heard():
+        if self.host.feed.is_reader_active():
             return self.listed_ms + OLDEST_LIST_MS
         return self.listed_ms + ALONE_PAUSE_MS
 
@@ -110,7 +110,7 @@
         if name == self.own.name:
             self.announced = False
         if self.host.members.remove(name) is not None:
-            self.host.forget_host(name)
+            self.host.remove_host_reports(name)
             logger.bind(host=name).info('host left')
 
 
--- a/pearrun/platform/quarantinelog.py
+++ b/pearrun/platform/quarantinelog.py
@@ -49,7 +49,7 @@
     def _is_told(self):
         """Say whether another host of the zone reads and is heard."""
         feed = self.host.feed
-        return feed.followed and feed.is_heard()
+        return feed.followed and feed.is_reader_active()
 
     async def _wait_until_untold(self):
         while self._is_told():
--- a/pearrun/relay/exchange.py
+++ b/pearrun/relay/exchange.py
@@ -215,7 +215,7 @@
     def _mark_read(self):
         if self.reading:
             self.reading = False
-            self.host.selection.mark_read(self.selected)
+            self.host.selection.end_prefill(self.selected)
 
     def _note_first(self):
         """Note that this endpoint's answer begins to be passed on."""
--- a/pearrun/relay/relay.py
+++ b/pearrun/relay/relay.py
@@ -96,7 +96,7 @@
             if not trace.tries:
                 self.host.demands.note_call(
                     service.name,
-                    selected.fresh_tokens,
+                    selected.uncached_tokens,
                     call.route.latency_target_ms,
                 )
             if not trace.tries and not self._admits(call, selected):
--- a/pearrun/shared/__init__.py
+++ b/pearrun/shared/__init__.py
@@ -1,1 +1,1 @@
-"""State that hosts share: configuration, endpoints, peers, duties."""
+"""State shared among hosts: configuration, endpoints, peers, duties."""
--- a/pearrun/shared/cbor.py
+++ b/pearrun/shared/cbor.py
@@ -1,4 +1,4 @@
-"""CBOR between this project's own processes and through the store."""
+"""Decoding of CBOR from other hosts and from the store."""
 
 import cbor2
 
@@ -6,11 +6,11 @@
 
 
 def load(data, what):
-    """Decode one CBOR list.
+    """Decode a CBOR array.
 
-    :param what: what the data is, for the error.
+    :param what: description of the data, for the error message.
     :returns: the list.
-    :raises WireFormatError: it is not CBOR, or no list.
+    :raises WireFormatError: the data is not CBOR or not an array.
     """
     try:
         value = cbor2.loads(data)
--- a/pearrun/shared/clocksync.py
+++ b/pearrun/shared/clocksync.py
@@ -1,18 +1,18 @@
-"""Time of day, corrected by what the other hosts' clocks say.
+"""Wall-clock time, corrected by the clocks of the other hosts.
 
-The time of day may jump by seconds on some hosts.  Each host compares
-its clock with its peers'; the median of all hosts is taken as true.
+The wall clock may jump by seconds on some hosts.  Each host compares
+its clock with those of its peers and takes the median as correct.
 """
 
 import statistics
 
-# Differences up to this are left alone: messages take some ms, and
-# clocks of sound hosts are this close.
+# Smaller deviations from the median are not corrected: message delay accounts
+# for a few ms, and the clocks of healthy hosts agree this closely.
 TOLERATED_MS = 150
 
 
 class CorrectedClock:
-    """A wall clock that follows the median of all hosts.
+    """A wall clock corrected to the median of all hosts.
 
     :param clock: the host's own :class:`Clock`.
     """
@@ -22,15 +22,18 @@
         self._offsets = {}
 
     def put_report(self, host, wall_ms):
-        """Take another host's time of day, as it just arrived."""
+        """Record another host's wall-clock time from a message just received.
+
+        :param wall_ms: milliseconds since the Unix epoch.
+        """
         self._offsets[host] = wall_ms - self.clock.now()
 
     def remove(self, host):
-        """Forget a host that has left."""
+        """Drop the offset of a host that has left."""
         self._offsets.pop(host, None)
 
     def wall(self):
-        """Return the corrected time of day.
+        """Return the corrected wall-clock time.
 
         :returns: milliseconds since the Unix epoch.
         """
--- a/pearrun/shared/demands.py
+++ b/pearrun/shared/demands.py
@@ -1,4 +1,4 @@
-"""What is asked of each service: through this host, and through all."""
+"""Demand for each service: at this host, and summed over all hosts."""
 
 from pearrun.decisions.demand import add_demands
 from pearrun.decisions.demand import DemandMeter
@@ -7,7 +7,7 @@
 
 
 class Demands:
-    """Measures this host's part; sums the other hosts' reports."""
+    """Measures this host's demand and adds the other hosts' reports."""
 
     def __init__(self, clock):
         self.clock = clock
@@ -15,32 +15,32 @@
         self._meters = {}
 
     def note_call(self, service_name, tokens, target_ms):
-        """Note a call; see :meth:`DemandMeter.note_call`."""
-        meter = self._meter(service_name)
+        """Record a call; see :meth:`DemandMeter.note_call`."""
+        meter = self._get_meter(service_name)
         meter.note_call(tokens, target_ms, self.clock.now())
 
     def note_answer(self, service_name, took_ms):
-        """Note how long a call took that was answered whole."""
-        self._meter(service_name).note_answer(took_ms)
+        """Record the duration of a call that was answered completely."""
+        self._get_meter(service_name).note_answer(took_ms)
 
-    def answer_ms(self, service_name):
-        """Return how long an answered call of a service takes."""
-        return self._meter(service_name).answer_ms
+    def get_answer_ms(self, service_name):
+        """Return the mean duration of a service's answered calls."""
+        return self._get_meter(service_name).answer_ms
 
-    def own(self):
+    def measure_own(self):
         """Return this host's :class:`Demand` by service."""
         now = self.clock.now()
         return {
             name: meter.measure(now) for name, meter in self._meters.items()
         }
 
-    def total(self, service_name):
-        """Return the :class:`Demand` of all hosts for a service."""
-        own = self.own().get(service_name, NO_DEMAND)
+    def sum_all(self, service_name):
+        """Return the :class:`Demand` for a service, over all hosts."""
+        own = self.measure_own().get(service_name, NO_DEMAND)
         others = self.others.sum().get(service_name, NO_DEMAND)
         return add_demands((own, others))
 
-    def _meter(self, service_name):
+    def _get_meter(self, service_name):
         if service_name not in self._meters:
             self._meters[service_name] = DemandMeter()
         return self._meters[service_name]
--- a/pearrun/shared/duties.py
+++ b/pearrun/shared/duties.py
@@ -40,7 +40,7 @@
     :param host: shared objects of this host.
     :param lease_log: the :class:`LeaseLog`.
     :param calls: the :class:`DutyClient`.
-    :param reports: the :class:`ReportBoard`, for news of the holder.
+    :param reports: the :class:`ReportReceiver`, for news of the holder.
     :param scaler: the :class:`Scaler`, or ``None``.
     :param usage_log: the :class:`UsageLog`.
     """
@@ -48,7 +48,7 @@
     def __init__(self, host, lease_log, calls, reports, scaler, usage_log):
         self.host = host
         self.log = lease_log
-        self.saving = UsageSaving(host.board, usage_log)
+        self.saving = UsageSaving(host.usage_board, usage_log)
         self.view = lease_log.view
         self.clock = host.clock
         self.calls = calls
@@ -109,7 +109,7 @@
 
     async def _watch(self):
         """Claim the lease once nobody else can hold it."""
-        notice = self.reports.last_notice()
+        notice = self.reports.get_last_notice()
         if notice is not None:
             self.view.note_told(notice.log_end, self.clock.boot())
         now = self.clock.now()
@@ -130,7 +130,7 @@
         In a large fleet the hubs come first: if all hosts read the log of a
         lost holder, each read costs, and one of them succeeds it.
         """
-        heard_ms = self.reports.heard_duty_ms()
+        heard_ms = self.reports.get_last_duty_ms()
         stands_back = self.host.feed.through_hubs and not self.reports.is_hub
         if not stands_back:
             return 0 if heard_ms is None else heard_ms + HOLDER_SILENT_MS
@@ -203,7 +203,7 @@
         settings = self.host.settings.usage
         wall = self.host.time.wall()
         last = (wall - SETTLE_MS) // settings.window_ms - 1
-        board = self.host.board
+        board = self.host.usage_board
         oldest = last - (settings.due_ms + LATE_MS) // settings.window_ms
         for window in range(oldest, last + 1):
             if self._may_be_agreed(window) or not self._covers(window):
@@ -233,7 +233,7 @@
 
     def _covers(self, window):
         """Say whether calls of a window can have been counted."""
-        windows = self.host.board.windows
+        windows = self.host.usage_board.windows
         return bool(windows) and window >= min(windows)
 
     async def _deliver_usage(self, term):
--- a/pearrun/shared/engines.py
+++ b/pearrun/shared/engines.py
@@ -1,4 +1,4 @@
-"""The learnt models of the services' engines."""
+"""Performance models of the services' engines, fitted to their answers."""
 
 from pearrun.decisions import enginemodel
 from pearrun.decisions.enginemodel import EngineModelSettings
@@ -7,7 +7,7 @@
 
 
 class Engines:
-    """What this host and the others saw of each service's engines."""
+    """Time-to-first-token samples of each service, from all hosts."""
 
     def __init__(self, clock):
         self.settings = EngineModelSettings()
@@ -15,23 +15,25 @@
         self.own = {}
 
     def note_first(self, service_name, tokens, waited_ms):
-        """Learn from the time to a first token.
+        """Update a service's model with a time to first token.
 
-        :param tokens: prompt tokens that were to be read until then, those
-            of calls before it included.
-        :param waited_ms: milliseconds from its sending.
+        Outliers are ignored.
+
+        :param tokens: prompt tokens to prefill before the first token,
+            including those of calls queued ahead.
+        :param waited_ms: milliseconds from sending the call.
         """
-        model = self.of_service(service_name)
+        model = self.find_by_service(service_name)
         if enginemodel.is_outlier(model, tokens, waited_ms, self.settings):
             return
-        known = self.own.get(service_name, NO_ANSWERS)
-        seen = enginemodel.make_sums(tokens, waited_ms)
-        self.own[service_name] = known.times(self.settings.keep).plus(seen)
+        past = self.own.get(service_name, NO_ANSWERS)
+        sample = enginemodel.make_sums(tokens, waited_ms)
+        self.own[service_name] = past.times(self.settings.keep).plus(sample)
 
-    def of_service(self, service_name):
+    def find_by_service(self, service_name):
         """Return a service's :class:`EngineModel`.
 
-        It is a guess until answers came.
+        Without any answers it consists of default values.
         """
         own = self.own.get(service_name, NO_ANSWERS)
         others = self.others.sum().get(service_name, NO_ANSWERS)
--- a/pearrun/shared/feed.py
+++ b/pearrun/shared/feed.py
@@ -1,4 +1,4 @@
-"""A topic of the store as one host of a zone reads it for the others."""
+"""Change feed of a store topic: one host of a zone reads it for the others."""
 
 import asyncio
 import collections
@@ -8,12 +8,13 @@
 from pearrun.shared.reports import ENDPOINT_TOPIC
 from pearrun.shared.reports import TopicFeed
 
-# Batches kept until they are asked for: a few rounds of reports.
-KEPT_BATCHES = 16
-# How often the end of the last read is said again.
-REPEAT_MS = 1000
-# Without a word for so long, hosts take it that nobody reads for them.
-UNHEARD_MS = 3000
+# Received batches buffered until they are consumed: a few report rounds.
+MAX_BATCHES = 16
+# How often the end offset of the last read is sent again while the topic does
+# not change.
+REPEAT_INTERVAL_MS = 1000
+# Without a batch for this long, hosts assume that no host reads for them.
+READER_TIMEOUT_MS = 3000
 
 
 @dataclasses.dataclass(frozen=True)
@@ -21,11 +22,12 @@
     """Changes of a topic between two offsets.
 
     :param start: offset of the first record.
-    :param next: offset after the last one.
-    :param records: pairs of a key and its entry, ``None`` where it was
-        removed.
-    :param asked_ms: when the store was asked for them, by this host's
-        clock: a read that waits may miss what comes while it waits.
+    :param next: offset after the last record.
+    :param records: pairs of a key and its entry, ``None`` for a deleted
+        key.
+    :param asked_ms: when the read was sent to the store, by this host's
+        clock.  The changes are known to be complete up to then only: a
+        long poll may miss what is written while it waits.
     """
 
     start: int
@@ -35,13 +37,13 @@
 
 
 class Feed:
-    """Batches of changes: those read here, and those read elsewhere.
+    """Queues of the changes read by this host and by other hosts.
 
     :param topic: the topic's name.
 
-    ``followed`` says whether another host reads for this one's zone,
-    ``through_hubs`` whether what it reads comes by way of hubs, ``has_gap``
-    whether the last wait ended for a gap before what came.
+    ``followed`` is true while another host reads for this host's zone,
+    ``through_hubs`` while its batches are relayed by hubs, and ``has_gap``
+    if the last :meth:`wait` found changes missing before the next batch.
     """
 
     def __init__(self, clock, topic=ENDPOINT_TOPIC):
@@ -50,41 +52,41 @@
         self.through_hubs = False
         self.followed = False
         self.has_gap = False
-        self.heard_ms = None
-        self._unsent = []
+        self.last_batch_ms = None
+        self._pending = []
         self._repeated = None
         self._sent_ms = 0
-        self._received = collections.deque(maxlen=KEPT_BATCHES)
-        self._grown = asyncio.Event()
+        self._received = collections.deque(maxlen=MAX_BATCHES)
+        self._arrived = asyncio.Event()
 
     def publish(self, changes):
-        """Keep :class:`Changes` read here for the other hosts of the zone."""
-        self._unsent.append(changes)
+        """Queue :class:`Changes` for sending to the zone's other hosts."""
+        self._pending.append(changes)
 
     def repeat(self, changes):
-        """Say again and again where a read ended, while nothing changes.
+        """Send the end offset of a read periodically until the next change.
 
-        A host whose link was not up yet when a change was passed on learns
-        from it that it missed one.
+        It shows a host whose link was not up when a change was sent that it
+        has missed one.
 
-        :param changes: the last :class:`Changes`; ``None`` to say no more.
+        :param changes: the last :class:`Changes`; ``None`` to stop.
         """
         self._repeated = changes and dataclasses.replace(
             changes, start=changes.next, records=()
         )
 
-    def take_unsent(self):
-        """Return what was published since the last call, to be sent now.
+    def take_pending(self):
+        """Return the changes published since the last call, to be sent now.
 
         :returns: a list of :class:`TopicFeed`.
         """
-        unsent, self._unsent = self._unsent, []
+        pending, self._pending = self._pending, []
         now = self.clock.now()
-        if unsent:
+        if pending:
             self._sent_ms = now
-        elif self._repeated and now - self._sent_ms >= REPEAT_MS:
+        elif self._repeated and now - self._sent_ms >= REPEAT_INTERVAL_MS:
             self._sent_ms = now
-            unsent = [self._repeated]
+            pending = [self._repeated]
         return [
             TopicFeed(
                 changes.start,
@@ -93,57 +95,57 @@
                 self.clock.since(changes.asked_ms),
                 self.topic,
             )
-            for changes in unsent
+            for changes in pending
         ]
 
     def offer(self, batch):
-        """Take an :class:`TopicFeed` that another host read."""
-        self.heard_ms = self.clock.now()
-        asked_ms = self.heard_ms - batch.age_ms
+        """Add a :class:`TopicFeed` that another host has read."""
+        self.last_batch_ms = self.clock.now()
+        asked_ms = self.last_batch_ms - batch.age_ms
         self._received.append(
             Changes(batch.start, batch.next, batch.records, asked_ms)
         )
-        self._grown.set()
+        self._arrived.set()
 
-    def is_heard(self):
-        """Say whether another host that reads was heard lately."""
-        heard_ms = self.heard_ms
-        return heard_ms is not None and (
-            self.clock.since(heard_ms) < UNHEARD_MS
+    def is_reader_active(self):
+        """Say whether another host has sent a batch recently."""
+        last_batch_ms = self.last_batch_ms
+        return last_batch_ms is not None and (
+            self.clock.since(last_batch_ms) < READER_TIMEOUT_MS
         )
 
     async def wait(self, position, until_ms):
-        """Return the batch that goes on from an offset.
+        """Return the next batch from an offset.
 
-        :param until_ms: how long to wait for it, by this host's clock.
-        :returns: :class:`Changes`; ``None`` where none came in time or
-            there is a gap before them.
+        :param until_ms: deadline, by this host's clock.
+        :returns: :class:`Changes`; ``None`` if none arrived before the
+            deadline, or if changes before them are missing.
         """
         self.has_gap = False
         while True:
-            batch = self._find(position)
+            batch = self._pop_batch(position)
             if batch is not None:
                 self.has_gap = batch.start > position
                 return None if self.has_gap else batch
-            self._grown.clear()
+            self._arrived.clear()
             left_ms = max(0, until_ms - self.clock.now())
             try:
                 async with asyncio.timeout(to_seconds(left_ms)):
-                    await self._grown.wait()
+                    await self._arrived.wait()
             except TimeoutError:
                 return None
 
-    def _find(self, position):
-        """Return the first batch that is not older than an offset."""
+    def _pop_batch(self, position):
+        """Return the first batch that does not end before an offset."""
         while self._received:
             batch = self._received.popleft()
             if batch.next >= position:
-                return cut_batch(batch, position)
+                return trim_batch(batch, position)
         return None
 
 
-def cut_batch(batch, position):
-    """Leave out of a batch what lies before an offset."""
+def trim_batch(batch, position):
+    """Return a batch without the records before an offset."""
     if batch.start >= position:
         return batch
     records = batch.records[position - batch.start :]
--- a/pearrun/shared/fleet.py
+++ b/pearrun/shared/fleet.py
@@ -1,4 +1,4 @@
-"""Endpoints as this host knows them, with their state and load."""
+"""Endpoints known to this host, with their state and load."""
 
 import collections
 import dataclasses
@@ -11,21 +11,21 @@
 from pearrun.ids import ZoneName
 from pearrun.states import EndpointState
 
-# Starts remembered, also of endpoints that have left, whose entry may come
-# once more; several times the endpoints of a large fleet.
+# Endpoint names whose latest start time is kept, including endpoints that have
+# left, since an outdated entry of one may still arrive.  Several times the
+# size of a large fleet.
 MAX_STARTS = 8192
 
 
 @dataclasses.dataclass(frozen=True)
 class EndpointRecord:
-    """What the platform says of one start of an endpoint.
+    """The platform's entry for one process start of an endpoint.
 
-    :param name: the platform's name of it, which a later start may bear
-        again.
-    :param reclaimable: whether the platform may take it away.
+    :param name: the platform's name for it, which a later start may reuse.
+    :param reclaimable: whether the platform may reclaim it.
     :param leaves_ms: milliseconds until a reclaim; ``None`` if unknown.
     :param started_ms: when its process started, in Unix milliseconds; 0
-        where the platform does not say.
+        if the platform does not report it.
     """
 
     name: EndpointName
@@ -40,10 +40,10 @@
 
     @functools.cached_property
     def id(self):
-        """The id of this start, by which hosts speak of it.
+        """The id of this start, unique among the starts of the endpoint.
 
-        Cached prompts, calls, pauses and connections are known by it, so
-        that nothing believed of one start is taken for another's.
+        Cached prompts, calls, pauses and connections are keyed by it, so
+        that state of one start is not attributed to another.
         """
         if not self.started_ms:
             return EndpointId(self.name)
@@ -52,7 +52,7 @@
 
 @dataclasses.dataclass
 class Endpoint:
-    """One endpoint and this host's own work on it."""
+    """One endpoint and the calls that this host has sent to it."""
 
     record: EndpointRecord
     calls: int = 0
@@ -67,7 +67,7 @@
 
 
 class Fleet:
-    """All endpoints, by service.
+    """All known endpoints, indexed by id and by service.
 
     ``listed_ms`` is when the list was last known to be complete.
     """
@@ -79,47 +79,47 @@
         self._starts = collections.OrderedDict()
 
     def is_outdated(self, record):
-        """Say whether a record tells of an earlier start than is known."""
+        """Say whether a later start than the record's is already known."""
         return record.started_ms < self._starts.get(record.name, 0)
 
     def find(self, name):
-        """Return the :class:`Endpoint` of a name, or ``None``."""
+        """Return the latest :class:`Endpoint` with a name, or ``None``."""
         started_ms = self._starts.get(name, 0)
         endpoint_id = f'{name}@{started_ms}' if started_ms else name
         return self.endpoints.get(endpoint_id)
 
     def put(self, record):
-        """Add an endpoint or update what is known of it.
+        """Add an endpoint, or update its record.
 
         :returns: whether its state changed.
         """
-        self._note_start(record)
+        self._record_start(record)
         endpoint = self.endpoints.get(record.id)
         if endpoint is None:
             endpoint = self.endpoints[record.id] = Endpoint(record)
             self._index(endpoint)
             return True
-        self._drop(endpoint)
+        self._unindex(endpoint)
         changed = endpoint.record.state is not record.state
         endpoint.record = record
         self._index(endpoint)
         return changed
 
     def remove(self, endpoint_id):
-        """Forget an endpoint that has left.
+        """Remove an endpoint that has left.
 
         :returns: its :class:`Endpoint`, or ``None`` if it was unknown.
         """
         endpoint = self.endpoints.pop(endpoint_id, None)
         if endpoint is not None:
-            self._drop(endpoint)
+            self._unindex(endpoint)
         return endpoint
 
-    def of_service(self, service):
-        """Return a service's endpoints that take new work."""
+    def find_by_service(self, service):
+        """Return a service's endpoints that accept new calls."""
         return list(self._live.get(service, {}).values())
 
-    def _note_start(self, record):
+    def _record_start(self, record):
         if not record.started_ms:
             return
         self._starts[record.name] = record.started_ms
@@ -132,6 +132,6 @@
         if record.state is EndpointState.LIVE:
             self._live.setdefault(record.service, {})[record.id] = endpoint
 
-    def _drop(self, endpoint):
+    def _unindex(self, endpoint):
         record = endpoint.record
         self._live.get(record.service, {}).pop(record.id, None)
--- a/pearrun/shared/host.py
+++ b/pearrun/shared/host.py
@@ -1,4 +1,4 @@
-"""The objects that one entry host's parts share."""
+"""Objects shared by the components of an entry host."""
 
 from loguru import logger
 
@@ -25,8 +25,9 @@
 class HostContext:
     """State of one entry host.
 
-    :param settings: the host's whole settings.
-    :param codec: encodes and judges headers; see :class:`EndpointCodec`.
+    :param settings: all settings of the host.
+    :param codec: encodes and interprets headers; see
+        :class:`EndpointCodec`.
     """
 
     def __init__(self, settings, codec, clock):
@@ -68,15 +69,15 @@
         )
         self.time = CorrectedClock(clock)
         self.usage = UsageCounts(self.time.wall, settings.usage.window_ms)
-        self.board = UsageBoard()
-        self.forget_host = lambda name: None
+        self.usage_board = UsageBoard()
+        self.remove_host_reports = lambda name: None
 
     def count_hosts(self):
-        """Return how many entry hosts there are, this one included."""
+        """Return the number of entry hosts, including this one."""
         return self.members.count()
 
     def is_ready(self):
-        """Say whether this host takes callers."""
+        """Say whether this host accepts callers."""
         return (
             not self.stopping
             and self.config.current is not None
@@ -84,31 +85,32 @@
         )
 
     def list_age_ms(self, now_ms):
-        """Return how long ago the list of endpoints was complete.
+        """Return the time since the endpoint list was known to be complete.
 
-        Changes since then may be unknown here.
+        Later changes may not have reached this host.
 
-        :returns: milliseconds; ``None`` before the first list.
+        :returns: milliseconds; ``None`` before the first list was read.
         """
         listed_ms = self.fleet.listed_ms
         return None if listed_ms is None else now_ms - listed_ms
 
     def awaits_heartbeats(self):
-        """Say whether heartbeats may show that an endpoint goes on."""
+        """Say whether a heartbeat may refute a suspected endpoint crash."""
         return self.crashes.has_outages() or bool(
             self.quarantine.known.suspects
         )
 
     def note_heartbeat(self, endpoint_id, asked_ms):
-        """Note that an endpoint goes on.
+        """Record that an endpoint is still running.
 
-        :param asked_ms: when the read that told it was begun.
+        :param asked_ms: when the store read that returned the heartbeat was
+            sent.
         """
         self.crashes.note_heard(endpoint_id, asked_ms)
         self.quarantine.note_heard(endpoint_id, asked_ms)
 
     def drop_endpoint(self, endpoint, reason):
-        """Stop using an endpoint that has left."""
+        """Remove all state of an endpoint that has left."""
         removed = self.fleet.remove(endpoint.id)
         self.crashes.note_removed(endpoint.id)
         self.pools.remove(endpoint.id)
@@ -121,7 +123,7 @@
             ).info('endpoint removed')
 
     def log_avoided(self, endpoint, pause_ms):
-        """Log that an endpoint is left alone for a while."""
+        """Log that no calls are sent to an endpoint for some time."""
         logger.bind(
             endpoint=endpoint.id,
             failures=endpoint.failures,
--- a/pearrun/shared/loads.py
+++ b/pearrun/shared/loads.py
@@ -1,4 +1,4 @@
-"""Work of the other hosts on endpoints, from their reports."""
+"""Load that the other hosts put on endpoints, from their reports."""
 
 import dataclasses
 
@@ -7,7 +7,12 @@
 
 @dataclasses.dataclass(frozen=True)
 class Load:
-    """Work on one endpoint."""
+    """Load on one endpoint.
+
+    :param calls: calls in progress.
+    :param reading_tokens: prompt tokens of these calls that are not
+        prefilled yet.
+    """
 
     calls: int = 0
     reading_tokens: int = 0
@@ -19,7 +24,7 @@
 class Loads(RunReports):
     """Sums the reports of all other hosts: :class:`Load` by endpoint id.
 
-    Endpoints without work of theirs are left out.
+    Endpoints without calls from other hosts are omitted.
     """
 
     def __init__(self, clock):
--- a/pearrun/shared/members.py
+++ b/pearrun/shared/members.py
@@ -1,10 +1,10 @@
-"""Entry hosts as this host knows them."""
+"""Membership list of the entry hosts."""
 
 import dataclasses
 
 from pearrun.ids import HostName
 
-# Where hosts list themselves on the store.
+# Store topic on which hosts register themselves.
 MEMBER_TOPIC = 'hosts'
 
 
@@ -13,8 +13,9 @@
     """One entry host.
 
     :param address: ``IP:PORT`` of its peer link.
-    :param started_ms: when it started; tells its runs apart.
-    :param link_mbps: speed of its network link, in megabits a second.
+    :param started_ms: when its process started; distinguishes its runs.
+    :param link_mbps: speed of its network link, in megabits per second; 0
+        if unknown.
     """
 
     name: HostName
@@ -25,13 +26,14 @@
 
 
 class Members:
-    """All entry hosts, as listed on the store.
-
-    ``changes`` grows with each change of the list; ``listed`` says whether
-    it was read.  ``heard`` holds the names of hosts that reported since
-    their links were up.  ``last_heard_ms`` says when a host last reported,
-    or was listed.  ``heard_elsewhere``
-    says how many hosts another zone's hub has heard there.
+    """All entry hosts, as registered on the store.
+
+    ``changes`` counts the changes of the list; ``listed`` says whether the
+    list has been read.  ``heard`` holds the names of hosts from which a
+    report was received and whose process is not known to have ended since.
+    ``last_heard_ms`` holds, by host, the time of its last report or
+    registration.  ``remote_zone_counts`` holds, by other zone, the number
+    of hosts that the zone's hub receives reports from.
     """
 
     def __init__(self, clock, own_name):
@@ -42,24 +44,24 @@
         self.listed = False
         self.heard = set()
         self.last_heard_ms = {}
-        self.heard_elsewhere = {}
+        self.remote_zone_counts = {}
 
     def put(self, member):
-        """Add a host or take its newest entry."""
+        """Add a host, or replace its entry by a newer one."""
         self.changes += self.members.get(member.name) != member
         self.members[member.name] = member
         self.last_heard_ms[member.name] = self.clock.now()
 
     def note_heard(self, name):
-        """Note that a host has reported."""
+        """Record that a report from a host was received."""
         self.heard.add(name)
         self.last_heard_ms[name] = self.clock.now()
 
     def list_silent(self, silent_ms):
-        """Return the other hosts that have not reported for a time.
+        """Return the other hosts that have not reported for some time.
 
-        :returns: names; none while less than half of the others are
-            heard, since then it is this host that is cut off.
+        :returns: names; none if more than half of the other hosts are
+            silent, since then this host is assumed to be cut off itself.
         """
         silent = [
             member.name
@@ -71,14 +73,17 @@
         return silent
 
     def remove(self, name):
-        """Forget a host that has left."""
+        """Remove a host that has left.
+
+        :returns: its :class:`Member`, or ``None`` if it was unknown.
+        """
         self.heard.discard(name)
         self.last_heard_ms.pop(name, None)
         self.changes += name in self.members
         return self.members.pop(name, None)
 
     def others(self):
-        """Return the other hosts."""
+        """Return the :class:`Member` objects of the other hosts."""
         return [
             member
             for member in self.members.values()
@@ -88,14 +93,14 @@
     def count_heard(self):
         """Return how many of the other hosts have reported.
 
-        Hosts of other zones may do so through a hub.
+        Hosts of other zones may be counted by a hub of their zone.
         """
         direct = self.heard & set(self.members)
         count = sum(
-            self.members[name].zone not in self.heard_elsewhere
+            self.members[name].zone not in self.remote_zone_counts
             for name in direct
         )
-        return count + sum(self.heard_elsewhere.values())
+        return count + sum(self.remote_zone_counts.values())
 
     def count_heard_in(self, zone):
         """Return how many of the other hosts of a zone have reported."""
@@ -105,5 +110,5 @@
         )
 
     def count(self):
-        """Return how many hosts there are, this one included."""
+        """Return the number of hosts, including this one."""
         return len(self.members) + (self.own_name not in self.members)
--- a/pearrun/shared/ownshare.py
+++ b/pearrun/shared/ownreports.py
@@ -1,10 +1,11 @@
-"""This host's own part of the sums that a hub tells its zone.
-
-Load pattern: a hub of a zone with 39 hosts that passed on every host's
-report sent 40 KB a round to each of them, and each decoded all of them.
-A sum costs the same at any number of hosts, but holds what its reader did
-itself, as far as the hub has heard of it.  The hub says which report of
-each host the sum covers; that report's part is left out again.
+"""Subtraction of this host's own reports from the sums of its zone's hub.
+
+Load pattern: a hub that forwards every report of a zone with 39 hosts sends
+40 KB per round to each of them, and each decodes all reports.  A sum has the
+same size for any number of hosts, but includes the receiver's own
+contribution as of the last report that reached the hub.  The hub therefore
+states which report of each host the sum covers, and the receiver subtracts
+that report.
 """
 
 import collections
@@ -15,15 +16,15 @@
 from pearrun.shared.quotas import Admitted
 from pearrun.shared.quotas import NOTHING
 
-# Own reports kept for sums that cover an older one: several times the
-# rounds that a report is on its way to a hub and back.
-KEPT_REPORTS = 32
+# Own reports kept for sums that cover an older one: several times the number
+# of rounds from sending a report to receiving a sum that covers it.
+MAX_REPORTS = 32
 
 
-class OwnShare:
-    """Keeps this host's last reports, and leaves them out of sums.
+class OwnReports:
+    """Keeps this host's latest reports and subtracts them from sums.
 
-    ``run`` is the :class:`Run` that reports; ``None`` before its first one.
+    ``run`` is this host's :class:`Run`; ``None`` before its first report.
     """
 
     def __init__(self):
@@ -31,27 +32,28 @@
         self._reports = collections.OrderedDict()
         self._hubs = {}
 
-    def keep(self, report):
-        """Keep a report of this host's own."""
+    def add(self, report):
+        """Add a report of this host."""
         self.run = report.run
         self._reports[report.number] = report
-        while len(self._reports) > KEPT_REPORTS:
+        while len(self._reports) > MAX_REPORTS:
             self._reports.popitem(last=False)
 
-    def leave_out(self, sums, number):
-        """Leave this host's part out of a hub's sums.
+    def subtract_from(self, sums, number):
+        """Subtract this host's contribution from a hub's sums.
 
         :param sums: the hub's :class:`HostReport` of the whole zone.
-        :param number: which own report they cover; ``None`` for none.
-        :returns: the sums of the other hosts; ``None`` where the covered
-            report is no longer known.
+        :param number: number of the own report that they cover; ``None``
+            if they cover none.
+        :returns: the sums of the other hosts; ``None`` if the covered
+            report is no longer kept.
         """
         own = None
         if number is not None:
             own = self._reports.get(number)
             if own is None:
                 return None
-        admitted = self._leave_out_admitted(sums, own)
+        admitted = self._subtract_own_admitted(sums, own)
         if own is None:
             return dataclasses.replace(sums, admitted=admitted)
         return dataclasses.replace(
@@ -62,11 +64,12 @@
             admitted=admitted,
         )
 
-    def _leave_out_admitted(self, sums, own):
-        """Leave out what this host admitted since the hub covers it.
+    def _subtract_own_admitted(self, sums, own):
+        """Subtract the units that this host admitted from a hub's totals.
 
-        A hub counts from the first report that it heard.  What it was told
-        last stays in its sums while it does not hear this host.
+        A hub counts from the first report that it received.  While it
+        receives no reports from this host, its totals keep including the
+        last one.
         """
         first, last = self._hubs.get(sums.run, (None, None))
         if own is not None:
@@ -82,7 +85,11 @@
 
 
 def subtract_admitted(use, name, first, last):
-    """Subtract what was admitted between two own reports."""
+    """Subtract what this host admitted between two of its reports.
+
+    :param use: the hub's :class:`Admitted` for one customer.
+    :param name: the customer.
+    """
     before = first.admitted.get(name, NOTHING)
     own = last.admitted.get(name, NOTHING)
     return Admitted(
@@ -91,44 +98,44 @@
 
 
 def subtract_loads(sums, own):
-    """Subtract own :class:`Load` by endpoint; what is left is not negative."""
-    left = dict(sums)
+    """Subtract own :class:`Load` by endpoint, with zero as the minimum."""
+    rest = dict(sums)
     for endpoint_id, load in own.items():
-        known = left.pop(endpoint_id, None)
+        known = rest.pop(endpoint_id, None)
         if known is None:
             continue
         calls = known.calls - load.calls
         if calls > 0:
             tokens = max(0, known.reading_tokens - load.reading_tokens)
-            left[endpoint_id] = Load(calls, tokens)
-    return left
+            rest[endpoint_id] = Load(calls, tokens)
+    return rest
 
 
 def subtract_demands(sums, own):
-    """Subtract own :class:`Demand` by service."""
-    left = dict(sums)
+    """Subtract own :class:`Demand` by service, with zero as the minimum."""
+    rest = dict(sums)
     for name, demand in own.items():
-        known = left.get(name)
+        known = rest.get(name)
         if known is not None:
-            left[name] = Demand(
+            rest[name] = Demand(
                 max(0.0, known.busy - demand.busy),
                 max(0.0, known.tokens_per_s - demand.tokens_per_s),
                 max(0.0, known.squares_per_s - demand.squares_per_s),
                 known.target_ms,
             )
-    return left
+    return rest
 
 
 def subtract_lines(sums, own):
     """Subtract own :class:`LineSums` by service."""
-    left = dict(sums)
+    rest = dict(sums)
     for name, lines in own.items():
-        known = left.get(name)
+        known = rest.get(name)
         if known is None:
             continue
         others = known.plus(lines.times(-1.0))
         if others.weight > 0:
-            left[name] = others
+            rest[name] = others
         else:
-            del left[name]
-    return left
+            del rest[name]
+    return rest
--- a/pearrun/shared/peerlinks.py
+++ b/pearrun/shared/peerlinks.py
@@ -1,9 +1,9 @@
-"""Links between entry hosts: websockets that carry CBOR bundles.
+"""Links between entry hosts: WebSocket connections that carry CBOR bundles.
 
-Every host sends on connections of its own and receives on those that
-others opened, so that a path which is cut in one direction only stops
-that direction's reports.  Whom it sends to is planned in
-:mod:`pearrun.decisions.topology`.
+A host sends only on connections that it has opened, and receives only on
+those that its peers have opened.  A network path that fails in one direction
+therefore stops the reports of that direction only.
+:mod:`pearrun.decisions.topology` decides which hosts a host sends to.
 """
 
 import asyncio
@@ -19,70 +19,72 @@
 from pearrun.decisions import topology
 from pearrun.shared import reports
 
-# How often it is looked whether the links have to be planned anew, and how
-# often they are in any case.
-PLAN_MS = 200
-REPLAN_MS = 1000
-CONNECT_MS = 800
-# A link whose other end answers no ping for this long is dialled again,
-# since a silent connection may never come back while a new one works.
-PING_MS = 1000
-SILENCE_MS = 1500
-REDIAL_MS = 200
-# How long the end of a link waits for the other end's: a host that stops is
-# killed soon after, and must not wait for one that is cut off.
-CLOSE_MS = 100
-# A report larger than this is no report.
+# How often the inputs of the link plan are checked for changes, and how often
+# the plan is computed even without one.
+PLAN_CHECK_INTERVAL_MS = 200
+REPLAN_INTERVAL_MS = 1000
+CONNECT_TIMEOUT_MS = 800
+# A link is reopened if its peer does not answer a ping for this long: a
+# stalled connection may never recover although a new one would work.
+PING_INTERVAL_MS = 1000
+PING_TIMEOUT_MS = 1500
+REDIAL_DELAY_MS = 200
+# How long closing a link waits for the peer's close frame: a stopping host is
+# killed soon, and must not wait for a peer that is cut off.
+CLOSE_TIMEOUT_MS = 100
+# Larger messages are rejected as invalid.
 MAX_MESSAGE_BYTES = 1024 * 1024
-# A host that could not be reached is no hub for this long, then for twice
-# as long each time, unless it was started anew: ended processes are back
-# in a second or two, lost hosts never.
-DOWN_MS = 3000
-LONGEST_DOWN_MS = 60_000
-# For so long after its own start a host takes those it cannot reach to be
-# starting too, and dials them again soon: hosts that have lost power together
-# would else all choose other hubs.
-STARTING_MS = 1000
-STARTING_REDIAL_MS = 50
-# How often a peer with an older configuration is sent ours.
-CONFIG_COPY_MS = 1000
+# A host that could not be reached is excluded as a hub for this long.  The
+# period is doubled each time and ends early if the host is restarted: ended
+# processes are back in a second or two, lost hosts never.
+MIN_DOWN_MS = 3000
+MAX_DOWN_MS = 60_000
+# For this long after its own start a host assumes that unreachable peers are
+# starting too, and retries them sooner: otherwise, after a common power loss,
+# all hosts would choose other hubs.
+STARTUP_MS = 1000
+STARTUP_REDIAL_DELAY_MS = 50
+# How often this host's configuration is sent to a peer that has an older one.
+CONFIG_COPY_INTERVAL_MS = 1000
 
 
 @dataclasses.dataclass
-class Down:
-    """For how long a host is taken to be down.
+class DownPeriod:
+    """The period for which a host is considered down.
 
-    :param length_ms: the time before; doubled each time.
+    :param until_ms: its end, by this host's clock.
+    :param length_ms: its length, doubled for the next one; at first half of
+        the shortest.
     """
 
     until_ms: int = 0
-    length_ms: int = DOWN_MS // 2
+    length_ms: int = MIN_DOWN_MS // 2
 
 
 class PeerLinks:
-    """The links of one host.
+    """The peer links of one host.
 
     :param host: shared objects of this host.
     :param own: this host's :class:`Member`.
-    :param board: takes other hosts' messages; see :class:`ReportBoard`.
-    :param reporter: makes what is sent; see :class:`Reporter`.
+    :param receiver: the :class:`ReportReceiver`.
+    :param reporter: the :class:`Reporter`.
     """
 
-    def __init__(self, host, own, board, reporter):
+    def __init__(self, host, own, receiver, reporter):
         self.host = host
         self.own = own
-        self.board = board
+        self.receiver = receiver
         self.reporter = reporter
         self.links = {}
-        self.copied_ms = {}
+        self.config_sent_ms = {}
         self.down = {}
         self.roles = None
-        self.begun_ms = host.clock.now()
-        self.planned = None
+        self.started_ms = host.clock.now()
+        self.plan_inputs = None
         self.planned_ms = 0
 
     async def run(self):
-        """Listen, and keep the planned links."""
+        """Accept links from peers and maintain the planned outgoing links."""
         settings = self.host.settings
         async with serve(
             self._receive,
@@ -90,36 +92,41 @@
             settings.first_port,
             compression=None,
             max_size=MAX_MESSAGE_BYTES,
-            ping_interval=to_seconds(PING_MS),
-            ping_timeout=to_seconds(SILENCE_MS),
-            close_timeout=to_seconds(CLOSE_MS),
+            ping_interval=to_seconds(PING_INTERVAL_MS),
+            ping_timeout=to_seconds(PING_TIMEOUT_MS),
+            close_timeout=to_seconds(CLOSE_TIMEOUT_MS),
         ):
             try:
                 while True:
-                    self._plan()
-                    await asyncio.sleep(to_seconds(PLAN_MS))
+                    self._update_links()
+                    await asyncio.sleep(to_seconds(PLAN_CHECK_INTERVAL_MS))
             finally:
                 for link in self.links.values():
                     link.cancel()
 
-    def _plan(self):
-        """Plan the links; begin those that are new, end the others.
+    def _update_links(self):
+        """Plan the links, open those that are new and close obsolete ones.
 
-        While all that the plan follows from is as it was, this is done less
-        often: to rank all hosts takes time.
+        Unless an input of the plan has changed, it is computed less often,
+        since ranking all hosts takes time.
         """
         now = self.host.clock.now()
         members = self.host.members.members
         down = self._find_down()
-        asked = self.board.is_asked()
-        holder = self.board.find_holder()
-        basis = (self.host.members.changes, down, asked, holder)
-        if basis == self.planned and now - self.planned_ms < REPLAN_MS:
+        used_as_hub = self.receiver.is_used_as_hub()
+        holder = self.receiver.find_holder()
+        inputs = (self.host.members.changes, down, used_as_hub, holder)
+        if (
+            inputs == self.plan_inputs
+            and now - self.planned_ms < REPLAN_INTERVAL_MS
+        ):
             return
-        self.planned = basis
+        self.plan_inputs = inputs
         self.planned_ms = now
-        plan = topology.plan_links(self.own, members.values(), down, asked)
-        self._take_plan(plan)
+        plan = topology.plan_links(
+            self.own, members.values(), down, used_as_hub
+        )
+        self._apply_plan(plan)
         names = set(plan.targets)
         if not plan.mesh:
             names.add(holder)
@@ -131,11 +138,14 @@
         for member in set(self.links) - wanted:
             self.links.pop(member).cancel()
         for member in wanted - set(self.links):
-            self.links[member] = asyncio.create_task(self._keep_link(member))
+            self.links[member] = asyncio.create_task(
+                self._maintain_link(member)
+            )
 
-    def _take_plan(self, plan):
+    def _apply_plan(self, plan):
+        """Set this host's roles from a :class:`LinkPlan`."""
         self.reporter.plan = plan
-        self.board.is_hub = plan.is_hub
+        self.receiver.is_hub = plan.is_hub
         self.host.feed.through_hubs = not plan.mesh
         self.host.feed.followed = not plan.is_reader
         roles = (plan.mesh, plan.is_hub, plan.is_reader)
@@ -149,6 +159,7 @@
             ).info('role among hosts')
 
     def _find_down(self):
+        """Return the names of the hosts that are considered down."""
         now = self.host.clock.now()
         listed = self.host.members.members
         return {
@@ -158,24 +169,24 @@
         }
 
     def _note_down(self, member):
-        """Note that a host could not be reached."""
+        """Record that a host could not be reached."""
         now = self.host.clock.now()
-        down = self.down.setdefault(member, Down())
+        down = self.down.setdefault(member, DownPeriod())
         if now >= down.until_ms:
-            down.length_ms = min(LONGEST_DOWN_MS, down.length_ms * 2)
+            down.length_ms = min(MAX_DOWN_MS, down.length_ms * 2)
             down.until_ms = now + down.length_ms
 
-    async def _keep_link(self, member):
-        """Keep one outgoing link up while it is planned."""
+    async def _maintain_link(self, member):
+        """Open an outgoing link, and reopen it whenever it ends."""
         while True:
             try:
                 async with connect(
                     f'ws://{member.address}/',
                     compression=None,
-                    open_timeout=to_seconds(CONNECT_MS),
-                    ping_interval=to_seconds(PING_MS),
-                    ping_timeout=to_seconds(SILENCE_MS),
-                    close_timeout=to_seconds(CLOSE_MS),
+                    open_timeout=to_seconds(CONNECT_TIMEOUT_MS),
+                    ping_interval=to_seconds(PING_INTERVAL_MS),
+                    ping_timeout=to_seconds(PING_TIMEOUT_MS),
+                    close_timeout=to_seconds(CLOSE_TIMEOUT_MS),
                     max_size=MAX_MESSAGE_BYTES,
                     proxy=None,
                 ) as link:
@@ -183,28 +194,32 @@
                     self.down.pop(member, None)
                     await self._send_rounds(link, member)
             except ConnectionRefusedError:
-                # Its process is not running; a cut path would be silent.
-                self.board.forget(member.name)
+                # The peer's process is not running: a broken network path
+                # would time out instead.
+                self.receiver.remove_host(member.name)
             except (OSError, TimeoutError, websockets.WebSocketException) as e:
                 logger.bind(peer=member.name, cause=repr(e)).info(
                     'peer link down'
                 )
-            if self.host.clock.since(self.begun_ms) < STARTING_MS:
-                await asyncio.sleep(to_seconds(STARTING_REDIAL_MS))
+            if self.host.clock.since(self.started_ms) < STARTUP_MS:
+                await asyncio.sleep(to_seconds(STARTUP_REDIAL_DELAY_MS))
                 continue
             self._note_down(member)
-            await asyncio.sleep(to_seconds(REDIAL_MS))
+            await asyncio.sleep(to_seconds(REDIAL_DELAY_MS))
 
     async def _send_rounds(self, link, member):
-        told_usage = None
-        known = self.reporter.encode_known()
-        if known:
-            await link.send(self.reporter.bundle(known))
+        """Send each report round over a link until it ends."""
+        sent_usage = None
+        initial = self.reporter.encode_initial()
+        if initial:
+            await link.send(self.reporter.bundle(initial))
         while True:
-            made = await self.reporter.next_round()
-            messages = self.reporter.select(made, member, told_usage)
-            if made.usage in messages:
-                told_usage = made.usage
+            current = await self.reporter.wait_for_round()
+            messages = self.reporter.select_messages(
+                current, member, sent_usage
+            )
+            if current.usage in messages:
+                sent_usage = current.usage
             if self._needs_config(member):
                 copy = reports.ConfigCopy(
                     self.own.name, self.host.config.current.raw
@@ -214,30 +229,31 @@
                 await link.send(self.reporter.bundle(messages))
 
     def _needs_config(self, member):
-        """Say whether a peer's configuration is older than ours.
+        """Say whether to send this host's configuration to a peer now.
 
-        A peer that reaches the store has the newest one after the first
-        report that follows it; only one that does not is sent ours.
+        A peer that reaches the store reads a new version itself.  A copy is
+        sent only to one that still has an older version after
+        ``CONFIG_COPY_INTERVAL_MS``.
         """
-        known = self.board.config_version(member.name)
+        peer_version = self.receiver.get_config_version(member.name)
         now = self.host.clock.now()
-        last_ms = self.copied_ms.get(member.name)
-        if known is None or known >= self.host.config.version:
-            self.copied_ms.pop(member.name, None)
+        last_ms = self.config_sent_ms.get(member.name)
+        if peer_version is None or peer_version >= self.host.config.version:
+            self.config_sent_ms.pop(member.name, None)
             return False
-        if last_ms is None or now - last_ms < CONFIG_COPY_MS:
-            self.copied_ms.setdefault(member.name, now)
+        if last_ms is None or now - last_ms < CONFIG_COPY_INTERVAL_MS:
+            self.config_sent_ms.setdefault(member.name, now)
             return False
-        self.copied_ms[member.name] = now
+        self.config_sent_ms[member.name] = now
         return True
 
     async def _receive(self, link):
-        """Take one peer's bundles until its link ends."""
+        """Process the bundles of one peer until its link ends."""
         try:
             async for data in link:
                 delay_ms = round(link.latency * 1000)
-                self.board.take_encoded(data, delay_ms)
+                self.receiver.receive(data, delay_ms)
         except exceptions.WireFormatError as exc:
             logger.bind(code=exc.code).warning(exc.message)
         except websockets.ConnectionClosedError as exc:
-            logger.info(f'peer link ended: {exc}')
+            logger.info(f'incoming peer link closed: {exc}')
--- a/pearrun/shared/pools.py
+++ b/pearrun/shared/pools.py
@@ -1,27 +1,27 @@
-"""Connection pools to endpoints, one for each endpoint."""
+"""Connection pools, one per endpoint."""
 
 from pearrun.http1.pool import Pool
 from pearrun.http1.pool import PoolSettings
 
-# Endpoints are a fraction of a ms away, 1 to 3 ms across zones; a lost
-# opening packet is sent again after 1 s, and by then another endpoint
-# has been asked.
+# The round trip to an endpoint takes less than 1 ms, or 1 to 3 ms across
+# zones.  A lost SYN is retransmitted only after 1 s; trying another endpoint
+# is faster.
 CONNECT_MS = 200
-# A request whose bytes stay unacknowledged this long has not arrived.  Bytes
-# that a lossy path drops are sent again after 200 ms and then 400 ms, so two
-# losses in a row are taken for a cut.  At the begin of a cut calls that may
-# be repeated reach another endpoint within their latency target: with
-# 1,200 ms 1.0% fewer of four days' credit were served.
+# A request whose bytes stay unacknowledged for this long is considered not
+# delivered.  TCP retransmits lost segments after 200 ms and then 400 ms, so
+# two losses in a row are treated as a broken path.  With this value, calls
+# that may be retried reach another endpoint within their latency target when
+# a path breaks; 1,200 ms reduced the credit served over four days by 1.0%.
 SILENCE_MS = 450
-# Part of an endpoint's connections that all hosts together may use; the
-# rest is for hosts that come and for connections being closed.
+# Fraction of an endpoint's connection limit that all hosts together may use;
+# the rest is reserved for new hosts and for connections being closed.
 USED_SHARE = 0.8
 
 
 class EndpointPools:
-    """Pools by endpoint id.
+    """The pools by endpoint id.
 
-    :param count_hosts: returns how many hosts share the endpoints.
+    :param count_hosts: returns the number of hosts that share the endpoints.
     """
 
     def __init__(self, count_hosts):
@@ -29,7 +29,7 @@
         self._pools = {}
 
     def get(self, record, service):
-        """Return the pool of an endpoint.
+        """Return the pool of an endpoint, creating it if necessary.
 
         :param record: an :class:`EndpointRecord`.
         :param service: its :class:`Service`.
@@ -43,13 +43,13 @@
         return pool
 
     def close_idle(self, endpoint_id):
-        """Close the idle connections to an endpoint that is still used."""
+        """Close the idle connections to an endpoint but keep its pool."""
         pool = self._pools.get(endpoint_id)
         if pool is not None:
             pool.close()
 
     def remove(self, endpoint_id):
-        """Close the idle connections to an endpoint that has left."""
+        """Remove the pool of an endpoint that has left."""
         pool = self._pools.pop(endpoint_id, None)
         if pool is not None:
             pool.close()
--- a/pearrun/shared/prompts.py
+++ b/pearrun/shared/prompts.py
@@ -1,4 +1,4 @@
-"""Prompts, and the parts that calls share."""
+"""Prompts and their parts, which several calls may share."""
 
 import dataclasses
 
@@ -8,7 +8,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class PromptPart:
-    """A part of a prompt; parts with one id hold the same tokens."""
+    """A part of a prompt; parts with equal ids have the same tokens."""
 
     id: PartId
     tokens: int
@@ -16,12 +16,13 @@
 
 @dataclasses.dataclass(frozen=True)
 class Prompt:
-    """Size of a generation.
+    """Size and parts of a generation's prompt.
 
     :param tokens: tokens of the whole prompt.
-    :param output_tokens: most tokens that are generated.
-    :param expected_tokens: the caller's guess of that; often far off.
-    :param parts: the prompt's parts in order; the caller's own is last.
+    :param output_tokens: maximum number of tokens to generate.
+    :param expected_tokens: the caller's estimate of the output tokens; often
+        inaccurate.
+    :param parts: the prompt's parts in order; the last one is not shared.
     """
 
     tokens: int = 0
@@ -31,8 +32,8 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Placed:
-    """That a prompt was sent to an endpoint, which now caches its parts."""
+class PromptPlacement:
+    """A prompt that was sent to an endpoint, which now caches its parts."""
 
     endpoint_id: EndpointId
     part_ids: tuple[PartId, ...]
--- a/pearrun/shared/reporter.py
+++ b/pearrun/shared/reporter.py
@@ -1,4 +1,4 @@
-"""Makes what this host tells the others, in rounds."""
+"""Creates the reports that this host sends to its peers, in rounds."""
 
 import asyncio
 import dataclasses
@@ -8,19 +8,20 @@
 from pearrun.shared.loads import Load
 from pearrun.shared.run import Run
 
-# Windows of usage in each note; the last ones may still change.
-REPORTED_WINDOWS = 3
-# Time between rounds without news: placement by a load that is older
-# than this sends several calls to one endpoint; each round takes processor
-# time on all hosts that are told.
+# Usage windows in each note: the latest ones may still change.
+REPORTED_USAGE_WINDOWS = 3
+# Interval of the rounds, unless one is triggered earlier.  With older loads,
+# hosts place several calls on one endpoint; shorter intervals take more
+# processor time on all receiving hosts.
 ROUND_MS = 200
-# The same after a start: until a host has heard the others, which takes three
-# rounds through hubs, it may use a small part of each customer's limit.
-FIRST_ROUND_MS = 50
-STARTING_MS = 2000
-# Largest part of a host's link that its rounds may take.  A host with a slow
-# link that becomes the hub of its zone would else fill it, and lose the store,
-# the other hosts and its callers.
+# The same during the time after a start: until a host has received the reports
+# of the others, which takes three rounds through hubs, it may use only a small
+# part of each customer's limit.
+STARTUP_ROUND_MS = 50
+STARTUP_MS = 2000
+# Maximum fraction of a host's link speed that its rounds may use.  Otherwise a
+# host with a slow link that becomes the hub of its zone would saturate the
+# link, and lose the store, the other hosts and its callers.
 LINK_SHARE = 0.25
 
 
@@ -30,13 +31,14 @@
 
     :param own: this host's report.
     :param usage: its counts of calls.
-    :param feeds: changes of the list of endpoints that this host read.
-    :param suspects: requests under which endpoints crashed, if there is
-        news of them.
-    :param zone: sums for its zone; ``None`` if it is no hub.
-    :param coverage: which reports they hold; ``None`` if it is no hub.
+    :param feeds: topic changes that this host has read from the store.
+    :param suspects: requests under which endpoints crashed, if any have to
+        be sent.
+    :param zone: sums for its zone; ``None`` if it is not a hub.
+    :param coverage: which reports the sums include; ``None`` if it is not a
+        hub.
     :param zone_reports: reports of its zone's hosts, for its other hubs.
-    :param passed_on: what a hub tells its whole zone of others.
+    :param forwarded: messages of others that a hub forwards to its zone.
     """
 
     own: bytes
@@ -46,101 +48,106 @@
     zone: bytes | None = None
     coverage: bytes | None = None
     zone_reports: tuple[bytes, ...] = ()
-    passed_on: tuple[bytes, ...] = ()
+    forwarded: tuple[bytes, ...] = ()
 
 
 class Reporter:
-    """Makes the rounds and says what of them a link carries.
+    """Creates the rounds and selects the messages for each link.
 
     :param host: shared objects of this host.
-    :param started_ms: when this host started.
-    :param board: the :class:`ReportBoard`.
+    :param started_ms: when this host started, in Unix milliseconds.
+    :param receiver: the :class:`ReportReceiver`.
+
+    ``plan`` is the current :class:`LinkPlan`; ``make_notice`` returns a
+    :class:`DutyNotice` while this host holds the lease, otherwise ``None``.
     """
 
-    def __init__(self, host, started_ms, board):
+    def __init__(self, host, started_ms, receiver):
         settings = host.settings
         self.host = host
-        self.board = board
-        self.run_id = Run(settings.name, started_ms, settings.zone)
+        self.receiver = receiver
+        self.own_run = Run(settings.name, started_ms, settings.zone)
         self.zone_run = Run(settings.name, started_ms, settings.zone, True)
         self.make_notice = lambda: None
         self.plan = None
         self.number = 0
-        self.begun_ms = host.clock.now()
+        self.created_ms = host.clock.now()
         self._usage = (None, b'')
         self._bundles = {}
         self._sent_bytes = 0
-        self._made_ms = 0
+        self._round_started_ms = 0
         self._round = None
-        self._made = asyncio.Event()
-        self._news = asyncio.Event()
+        self._round_ready = asyncio.Event()
+        self._triggered = asyncio.Event()
 
     async def run(self):
-        """Make rounds for the process's whole life.
+        """Create rounds until the process ends.
 
-        Each round goes to all links, so that what is said only once,
-        such as prompts just placed, reaches every host.
+        Each round goes to all links, so that information that is sent only
+        once, such as new prompt placements, reaches every host.
         """
         while True:
-            await self._wait_for_news()
-            # News of its own belongs to this round: one made right after it
-            # would take its place before the links have sent it.
+            await self._wait_until_due()
+            # The check may trigger a round.  Its results belong to this one:
+            # a round created right after it would replace it before the links
+            # have sent it.
             self.host.crashes.check()
-            self._news.clear()
+            self._triggered.clear()
             self._bundles = {}
             self._sent_bytes = 0
-            self._made_ms = self.host.clock.now()
-            self._round = self._make()
-            self._made.set()
-            self._made = asyncio.Event()
-
-    def tell_at_once(self):
-        """Have the next round made now."""
-        self._news.set()
-
-    async def next_round(self):
-        """Return the next :class:`Round` once it is made."""
-        await self._made.wait()
+            self._round_started_ms = self.host.clock.now()
+            self._round = self._make_round()
+            self._round_ready.set()
+            self._round_ready = asyncio.Event()
+
+    def trigger_round(self):
+        """Start the next round without waiting for its due time."""
+        self._triggered.set()
+
+    async def wait_for_round(self):
+        """Wait for the next :class:`Round` and return it."""
+        await self._round_ready.wait()
         return self._round
 
-    def select(self, made, member, told_usage):
-        """Return what a link carries of a round: encoded messages.
+    def select_messages(self, current, member, sent_usage):
+        """Return the encoded messages of a round that a link carries.
 
-        :param member: the :class:`Member` at its other end.
-        :param told_usage: the usage that this link carried last.
+        :param current: the :class:`Round`.
+        :param member: the :class:`Member` at the link's other end.
+        :param sent_usage: the usage that this link carried last.
         """
         plan = self.plan
-        usage = [] if made.usage is told_usage else [made.usage]
+        usage = [] if current.usage is sent_usage else [current.usage]
         if plan.mesh:
-            return [made.own, *usage, *made.feeds, *made.suspects]
+            return [current.own, *usage, *current.feeds, *current.suspects]
         messages = []
         if member.name in plan.targets:
-            messages.extend(self._select(made, member))
-            messages.extend(made.suspects)
-        if member.name == self.board.find_holder():
-            # No more than that: a host that is told as a hub acts as one,
-            # and the holder's link may be too slow for it.
+            messages.extend(self._select_hub_messages(current, member))
+            messages.extend(current.suspects)
+        if member.name == self.receiver.find_holder():
+            # No reports: a host that receives them acts as a hub, and the
+            # link of the lease holder may be too slow for that.
             messages.extend(usage)
         return messages
 
-    def _select(self, made, member):
-        """Return what a link of a fleet with hubs carries of a round."""
-        sums = [] if made.zone is None else [made.zone]
+    def _select_hub_messages(self, current, member):
+        """Return a round's messages for a link in a fleet with hubs."""
+        sums = [] if current.zone is None else [current.zone]
         if member.zone != self.host.settings.zone:
             return sums
-        shared = [*made.feeds, *made.passed_on]
+        shared = [*current.feeds, *current.forwarded]
         if not sums:
-            return [made.own, *shared]
-        if self.board.acts_as_hub(member.name):
-            # It sums up the zone too.
-            return [made.own, *made.zone_reports, *shared]
-        return [made.coverage, *sums, *shared]
+            return [current.own, *shared]
+        if self.receiver.acts_as_hub(member.name):
+            # The peer computes the zone's sums itself.
+            return [current.own, *current.zone_reports, *shared]
+        return [current.coverage, *sums, *shared]
 
     def bundle(self, messages):
-        """Return a bundle of encoded messages from this host.
+        """Return an encoded bundle of encoded messages from this host.
 
-        Links that carry the same of a round share one.  Each call counts as
-        one sending of it.
+        Links that carry the same messages of a round share one.  Each call
+        counts the bundle as sent once more.
         """
         key = tuple(messages)
         bundle = self._bundles.get(key)
@@ -151,95 +158,96 @@
         self._sent_bytes += len(bundle)
         return bundle
 
-    async def _wait_for_news(self):
-        """Wait until a round is due, or until there is news.
+    async def _wait_until_due(self):
+        """Wait until a round is due or triggered.
 
-        Also with news, the link gets time to carry the round before.
+        In either case the link gets time to transmit the previous round.
         """
         try:
-            async with asyncio.timeout(to_seconds(self._round_ms())):
-                await self._news.wait()
+            async with asyncio.timeout(to_seconds(self._round_interval_ms())):
+                await self._triggered.wait()
         except TimeoutError:
             pass
-        carried_ms = self._made_ms + self._sending_ms()
-        left_ms = carried_ms - self.host.clock.now()
+        sent_ms = self._round_started_ms + self._transmit_ms()
+        left_ms = sent_ms - self.host.clock.now()
         if left_ms > 0:
             await asyncio.sleep(to_seconds(left_ms))
 
-    def _sending_ms(self):
-        """Return how long the last round takes this host's link."""
+    def _transmit_ms(self):
+        """Return how long this host's link transmits the last round."""
         link_mbps = self.host.settings.link_mbps * LINK_SHARE
         if not link_mbps:
             return 0
         return self._sent_bytes * 8 / (link_mbps * 1000.0)
 
-    def _round_ms(self):
-        """Return the time until the next round is made without news."""
-        age_ms = self.host.clock.since(self.begun_ms)
-        return FIRST_ROUND_MS if age_ms < STARTING_MS else ROUND_MS
+    def _round_interval_ms(self):
+        """Return the interval between rounds that are not triggered."""
+        age_ms = self.host.clock.since(self.created_ms)
+        return STARTUP_ROUND_MS if age_ms < STARTUP_MS else ROUND_MS
 
-    def _make(self):
+    def _make_round(self):
+        """Return the :class:`Round` with this host's current state."""
         host = self.host
         self.number += 1
         admitted = host.quotas.report()
-        placed = host.selection.take_placed()
-        own = self._report(
-            self.run_id,
+        placed = host.selection.take_placements()
+        own = self._make_report(
+            self.own_run,
             1,
-            self._own_loads(),
+            self._collect_own_loads(),
             admitted,
             placed,
-            host.demands.own(),
+            host.demands.measure_own(),
             dict(host.engines.own),
         )
-        self.board.own.keep(own)
+        self.receiver.own_reports.add(own)
         usage = self._encode_usage()
         feeds = tuple(
             reports.encode(batch)
             for feed in host.feeds.values()
-            for batch in feed.take_unsent()
+            for batch in feed.take_pending()
         )
-        zone_reports, sums = self.board.take_fresh()
-        ended = self.board.take_ended()
-        zone_placed = self.board.take_zone_placed()
-        told = host.quarantine.take_told()
-        suspects = self._encode_suspects(told)
+        zone_reports, sums = self.receiver.take_unforwarded()
+        ended = self.receiver.take_ended()
+        zone_placed = self.receiver.take_zone_placements()
+        suspects_due = host.quarantine.take_told()
+        suspects = self._encode_suspects(suspects_due)
         if self.plan is None or not self.plan.is_hub:
             return Round(reports.encode(own), usage, feeds, suspects)
-        passed_on = [*sums, *(reports.encode(item) for item in ended)]
+        forwarded = [*sums, *(reports.encode(item) for item in ended)]
         return Round(
             reports.encode(own),
             usage,
             feeds,
             suspects,
             reports.encode(self._sum_zone(own, zone_placed)),
-            reports.encode(self.board.cover()),
+            reports.encode(self.receiver.make_coverage()),
             tuple(zone_reports),
-            tuple(passed_on),
+            tuple(forwarded),
         )
 
     def _encode_usage(self):
-        """Return the counts of the last windows, encoded.
+        """Return the encoded counts of the latest usage windows.
 
-        It is the same object until a call was counted.
+        Returns the same object until another call is counted.
         """
         usage = self.host.usage
         changes, encoded = self._usage
         if changes != usage.changes:
-            windows = sorted(usage.windows)[-REPORTED_WINDOWS:]
+            windows = sorted(usage.windows)[-REPORTED_USAGE_WINDOWS:]
             counts = {window: usage.windows[window] for window in windows}
-            run = self.run_id
-            self.host.board.put(run.host, run.started_ms, counts)
+            run = self.own_run
+            self.host.usage_board.put(run.host, run.started_ms, counts)
             encoded = reports.encode(reports.UsageNote(run, counts))
             self._usage = (usage.changes, encoded)
         return encoded
 
-    def encode_known(self):
-        """Return what a host is told first: encoded messages."""
+    def encode_initial(self):
+        """Return the encoded messages that a new link carries first."""
         return self._encode_suspects(self.host.quarantine.list_known())
 
     def _encode_suspects(self, suspects):
-        """Return a note of requests under which endpoints crashed, if any."""
+        """Return the encoded :class:`SuspectNote` in a tuple, if any."""
         if not suspects:
             return ()
         now = self.host.clock.now()
@@ -247,8 +255,10 @@
         note = reports.SuspectNote(self.host.settings.name, aged)
         return (reports.encode(note),)
 
-    def _report(self, run, hosts, loads, admitted, placed, demands, engines):
-        """Return a report: of this host, or of its zone's hosts together."""
+    def _make_report(
+        self, run, hosts, loads, admitted, placed, demands, engines
+    ):
+        """Return a report of this host, or of its zone's hosts together."""
         host = self.host
         return reports.HostReport(
             run=run,
@@ -265,7 +275,8 @@
             engines=engines,
         )
 
-    def _own_loads(self):
+    def _collect_own_loads(self):
+        """Return this host's :class:`Load` by endpoint id."""
         return {
             endpoint.id: Load(endpoint.calls, endpoint.reading_tokens)
             for endpoint in self.host.fleet.endpoints.values()
@@ -273,11 +284,11 @@
         }
 
     def _sum_zone(self, own, zone_placed):
-        """Return the sums of this host's zone, its own report included."""
+        """Return the sums of this host's zone, including its own report."""
         host = self.host
         zone = host.settings.zone
         placed = (*own.placed, *zone_placed)
-        report = self._report(
+        report = self._make_report(
             self.zone_run,
             1 + host.members.count_heard_in(zone),
             host.loads.sum_zone(zone, own.loads),
@@ -286,5 +297,5 @@
             host.demands.others.sum_zone(zone, own.demands),
             host.engines.others.sum_zone(zone, own.engines),
         )
-        notice = report.duty or self.board.find_notice()
+        notice = report.duty or self.receiver.find_notice()
         return dataclasses.replace(report, duty=notice)
--- a/pearrun/shared/reports.py
+++ b/pearrun/shared/reports.py
@@ -1,7 +1,7 @@
 """Messages between entry hosts, encoded as CBOR.
 
-A link carries bundles.  Each message in one is encoded by itself, so
-that a hub passes on what it got without decoding and encoding it again.
+A link carries bundles of messages.  Each message in a bundle is encoded
+separately, so that a hub can forward it without decoding it.
 """
 
 import dataclasses
@@ -19,27 +19,27 @@
 from pearrun.shared import cbor
 from pearrun.shared import suspects as suspect_codec
 from pearrun.shared.loads import Load
-from pearrun.shared.prompts import Placed
+from pearrun.shared.prompts import PromptPlacement
 from pearrun.shared.quotas import Admitted
 from pearrun.shared.run import Run
 
 ENDPOINT_TOPIC = 'servers'
-# Bundles from this size on are compressed.
-COMPRESSED_BYTES = 2048
-# The first byte of compressed data; a bundle itself begins with that of a
-# list.
-COMPRESSED_START = b'x'
-# A bundle larger than this is none.
+# Bundles of at least this size are compressed.
+MIN_COMPRESSED_BYTES = 2048
+# First byte of zlib data.  An uncompressed bundle starts with that of a CBOR
+# array.
+ZLIB_FIRST_BYTE = b'x'
+# Bundles that are larger after decompression are rejected.
 MAX_BUNDLE_BYTES = 4 * 1024 * 1024
 
 
 @dataclasses.dataclass(frozen=True)
 class DutyNotice:
-    """That a host holds the duties' lease.
+    """Notice that a host holds the lease on the duties.
 
     :param fencing: its fencing token.
-    :param log_end: where the lease's log ends after its last record.
-    :param age_ms: how long ago the holder itself said so.
+    :param log_end: end offset of the lease log after its last record.
+    :param age_ms: age of the notice since the holder itself created it.
     """
 
     holder: HostName
@@ -50,19 +50,21 @@
 
 @dataclasses.dataclass(frozen=True)
 class HostReport:
-    """What a host tells of itself, or a hub of its zone, in each round.
-
-    :param run: who reports.
-    :param number: grows with each report of a run.
-    :param hosts: how many hosts it covers.
-    :param wall_ms: the sender's own time of day.
-    :param config_age_ms: how long ago that version was confirmed as
-        the newest.
+    """State of a host, or of all hosts of a hub's zone, sent in each round.
+
+    :param run: the :class:`Run` that reports.
+    :param number: sequence number among the reports of a run.
+    :param hosts: number of hosts that it covers.
+    :param wall_ms: the sender's uncorrected wall-clock time.
+    :param config_version: version of the configuration in force.
+    :param config_age_ms: how long ago that version was confirmed as the
+        latest.
     :param loads: :class:`Load` by endpoint id.
     :param demands: :class:`Demand` by service.
     :param engines: :class:`LineSums` by service.
     :param admitted: :class:`Admitted` by customer.
-    :param placed: prompts sent lately.
+    :param placed: prompts sent to endpoints since the last report.
+    :param duty: the notice of the lease, if one is known.
     """
 
     run: Run
@@ -73,7 +75,7 @@
     config_age_ms: int
     loads: dict[EndpointId, Load]
     admitted: dict[str, Admitted]
-    placed: tuple[Placed, ...] = ()
+    placed: tuple[PromptPlacement, ...] = ()
     duty: DutyNotice | None = None
     demands: dict[ServiceName, Demand] = dataclasses.field(
         default_factory=dict
@@ -85,9 +87,9 @@
 
 @dataclasses.dataclass(frozen=True)
 class Coverage:
-    """Which report of each host a hub's sums for its zone hold.
+    """Which report of each host is included in a hub's sums for its zone.
 
-    :param hub: whose sums of the same bundle they are.
+    :param hub: the hub, whose sums follow in the same bundle.
     :param numbers: start time and report number by host.
     """
 
@@ -97,7 +99,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class UsageNote:
-    """A host's counts of calls by customer, by window number."""
+    """A host's call counts per customer, by usage window number."""
 
     run: Run
     counts: dict[int, dict[str, int]]
@@ -108,10 +110,10 @@
     """Changes of a topic, as read from the store.
 
     :param start: offset of the first record.
-    :param next: offset after the last one.
-    :param records: pairs of a key and its entry, ``None`` where it was
-        removed.
-    :param age_ms: how long ago the store was asked for them.
+    :param next: offset after the last record.
+    :param records: pairs of a key and its entry, ``None`` for a deleted
+        key.
+    :param age_ms: how long ago the read was sent to the store.
     :param topic: the topic's name.
     """
 
@@ -124,18 +126,18 @@
 
 @dataclasses.dataclass(frozen=True)
 class HostEnded:
-    """That a host's process has ended."""
+    """Notice that a host's process has ended."""
 
     host: HostName
 
 
 @dataclasses.dataclass(frozen=True)
 class SuspectNote:
-    """Requests under which endpoints crashed, as the sender knows them.
+    """Requests under which endpoints crashed, as known to the sender.
 
     :param host: the sender.
-    :param suspects: :class:`Suspect` objects whose times are ages, in
-        milliseconds, at the time of sending.
+    :param suspects: :class:`Suspect` objects with ages at the time of
+        sending, in milliseconds, instead of times.
     """
 
     host: HostName
@@ -144,7 +146,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class ConfigCopy:
-    """The configuration in force at the sender, as the store had it."""
+    """The sender's configuration, as encoded in the store."""
 
     host: HostName
     raw: bytes
@@ -163,10 +165,10 @@
 
 @dataclasses.dataclass(frozen=True)
 class Bundle:
-    """What one link carries at once.
+    """Messages sent together over a link.
 
     :param sender: the host at the link's other end.
-    :param from_hub: whether that host passes on what others tell it.
+    :param from_hub: whether the sender acts as a hub.
     :param messages: pairs of a :class:`Message` and its encoded form.
     """
 
@@ -178,42 +180,44 @@
 def encode_bundle(sender, from_hub, encoded):
     """Encode a bundle.
 
-    Larger ones are compressed: sums of several zones name the same
-    endpoints and customers, and a hub sends them to its whole zone.
+    Large bundles are compressed: a hub sends the sums of several zones,
+    which repeat the same endpoints and customers, to its whole zone.
 
+    :param sender: name of the sending host.
     :param encoded: encoded messages; see :func:`encode`.
     """
     data = cbor2.dumps([sender, from_hub, list(encoded)])
-    if len(data) < COMPRESSED_BYTES:
+    if len(data) < MIN_COMPRESSED_BYTES:
         return data
     return zlib.compress(data, level=1)
 
 
-def expand(data):
-    """Return a bundle's bytes as they were before compression.
+def decompress(data):
+    """Return the uncompressed bytes of a bundle.
 
-    :raises WireFormatError: they are damaged, or too many.
+    :raises WireFormatError: the data is damaged or too large.
     """
-    if data[:1] != COMPRESSED_START:
+    if data[:1] != ZLIB_FIRST_BYTE:
         return data
-    expander = zlib.decompressobj()
+    decompressor = zlib.decompressobj()
     try:
-        plain = expander.decompress(data, MAX_BUNDLE_BYTES)
+        plain = decompressor.decompress(data, MAX_BUNDLE_BYTES)
     except zlib.error as exc:
         raise exceptions.WireFormatError(f'peer: {exc}') from exc
-    if not expander.eof:
-        raise exceptions.WireFormatError('peer: bundle cut or too large')
+    if not decompressor.eof:
+        raise exceptions.WireFormatError('peer: bundle truncated or too large')
     return plain
 
 
 def decode_bundle(data, is_known=lambda encoded: False):
     """Decode a :class:`Bundle`.
 
-    :param is_known: says of an encoded message whether to leave it out.
-    :raises WireFormatError: it is none, or holds an unknown message.
+    :param is_known: returns whether to skip an encoded message.
+    :raises WireFormatError: the data is not a bundle, or contains an
+        unknown message.
     """
     try:
-        sender, from_hub, encoded = cbor.load(expand(data), 'peer')
+        sender, from_hub, encoded = cbor.load(decompress(data), 'peer')
         messages = [
             (decode(item), item) for item in encoded if not is_known(item)
         ]
@@ -294,7 +298,7 @@
 
 
 def encode_demand(demand):
-    """Return a demand's fields, rounded: they are measures."""
+    """Return a demand's fields, rounded, since they are estimates."""
     return [
         round(demand.busy, 2),
         round(demand.tokens_per_s),
@@ -307,7 +311,7 @@
     """Decode a message.
 
     :returns: a :class:`Message`.
-    :raises WireFormatError: it is none.
+    :raises WireFormatError: the data is not a known message.
     """
     try:
         kind, *fields = cbor.load(data, 'peer')
@@ -361,7 +365,7 @@
         },
         admitted={name: Admitted(*use) for name, use in admitted.items()},
         placed=tuple(
-            Placed(endpoint_id, tuple(part_ids))
+            PromptPlacement(endpoint_id, tuple(part_ids))
             for endpoint_id, part_ids in placed
         ),
         duty=DutyNotice(*duty) if duty else None,
--- a/pearrun/shared/run.py
+++ b/pearrun/shared/run.py
@@ -1,4 +1,4 @@
-"""One life of a host's process, for counts that grow within it."""
+"""One run of a host's process, the scope of counters that only grow."""
 
 import dataclasses
 
@@ -8,9 +8,10 @@
 
 @dataclasses.dataclass(frozen=True)
 class Run:
-    """Who counts: a host since its start, or a hub for its zone.
+    """Origin of reports: one run of a host, for itself or as a hub.
 
-    :param whole_zone: whether a hub counts all hosts of its zone.
+    :param started_ms: when the process started, in Unix milliseconds.
+    :param whole_zone: whether it reports, as a hub, sums for its zone.
     """
 
     host: HostName
--- a/pearrun/shared/runreports.py
+++ b/pearrun/shared/runreports.py
@@ -1,14 +1,14 @@
-"""What other hosts reported last, as long as it says something."""
+"""The latest reports of other hosts, while they are valid."""
 
-# Reports older than this say nothing of the work now: most calls have
-# ended.  Ten report periods, so a few lost ones do not matter.
+# Older reports no longer describe the current load, since most of their calls
+# have ended.  Ten report intervals, so that a few lost reports do not matter.
 REPORT_VALID_MS = 2000
 
 
 class RunReports:
-    """The last report of each run, and a sum over them.
+    """The latest report of each run, and their sum.
 
-    :param add: adds up an iterable of reports.
+    :param add: returns the sum of an iterable of reports.
     """
 
     def __init__(self, clock, add):
@@ -19,7 +19,7 @@
         self._summed_ms = 0
 
     def put(self, run, report):
-        """Take a report.
+        """Store a report, replacing the run's previous one.
 
         :param run: the :class:`Run` that reports.
         """
@@ -27,32 +27,36 @@
         self._sum = None
 
     def remove(self, run):
-        """Forget a run that has ended."""
+        """Remove the report of a run that has ended."""
         self._reports.pop(run, None)
         self._sum = None
 
     def sum(self):
-        """Return the sum of all reports that are not too old."""
+        """Return the sum of all valid reports.
+
+        The sum is cached until a report changes, or for at most
+        ``REPORT_VALID_MS``.
+        """
         now = self.clock.now()
         if self._sum is None or now - self._summed_ms > REPORT_VALID_MS:
-            self._sum = self.add(self._valid(now).values())
+            self._sum = self.add(self._list_valid(now).values())
             self._summed_ms = now
         return self._sum
 
     def sum_zone(self, zone, own):
-        """Return the sum of the reports of a zone's hosts.
+        """Return the sum of the valid reports of a zone's hosts.
 
         :param own: this host's own report.
         """
         reports = [
             report
-            for run, report in self._valid(self.clock.now()).items()
+            for run, report in self._list_valid(self.clock.now()).items()
             if run.zone == zone and not run.whole_zone
         ]
         return self.add([own, *reports])
 
-    def _valid(self, now):
-        """Return the reports by run that are not too old."""
+    def _list_valid(self, now):
+        """Return the valid reports by run."""
         return {
             run: report
             for run, (received_ms, report) in self._reports.items()
--- a/pearrun/shared/scaler.py
+++ b/pearrun/shared/scaler.py
@@ -116,8 +116,8 @@
     def _note_need(self, service, now):
         """Note how many endpoints the demand of now needs."""
         service_name = service.name
-        demand = self.host.demands.total(service_name)
-        model = self.host.engines.of_service(service_name)
+        demand = self.host.demands.sum_all(service_name)
+        model = self.host.engines.find_by_service(service_name)
         past = self.needs.get(service_name)
         if past is None:
             # Nobody has seen this service's demand yet.
@@ -162,7 +162,7 @@
         """
         slots = [
             endpoint.record.slots
-            for endpoint in self.host.fleet.of_service(service.name)
+            for endpoint in self.host.fleet.find_by_service(service.name)
         ]
         if slots:
             self.slots[service.name] = min(slots)
--- a/pearrun/shared/selection.py
+++ b/pearrun/shared/selection.py
@@ -1,4 +1,4 @@
-"""Choosing endpoints from what this host knows of them now."""
+"""Selection of endpoints for calls, from this host's current state."""
 
 import dataclasses
 
@@ -7,14 +7,14 @@
 from pearrun.decisions.prefixes import PrefixIndex
 from pearrun.shared.fleet import Endpoint
 from pearrun.shared.loads import NO_LOAD
-from pearrun.shared.prompts import Placed
+from pearrun.shared.prompts import PromptPlacement
 
-# Prompts from this size on are told to the other hosts at once: reading one
-# takes a good part of a report period, in which the others would send short
-# calls behind it.
+# Prompts with at least this many uncached tokens trigger a report to the other
+# hosts: the prefill takes a large part of a report interval, in which the
+# others would queue short calls behind it.
 LARGE_TOKENS = 4000
-# Mean age of other hosts' reports as they are used where these come through
-# hubs: the rounds of the host and of two hubs.
+# Mean age of other hosts' reports when they are used in a fleet with hubs: the
+# rounds of the reporting host and of two hubs.
 HUB_REPORT_AGE_MS = 400
 
 
@@ -22,29 +22,33 @@
 class Selected:
     """An endpoint chosen for a call.
 
-    :param expected_ms: expected time to the call's first token.
-    :param fresh_tokens: prompt tokens the endpoint has to read.
-    :param reading_tokens: those of other calls that it reads before.
-    :param queued_ms: the expected time without that in which the call's
-        own prompt is read.
+    :param expected_ms: expected time to first token.
+    :param uncached_tokens: prompt tokens that the endpoint has to prefill.
+    :param reading_tokens: tokens of other calls that it prefills before.
+    :param queued_ms: ``expected_ms`` without the prefill of the call's own
+        prompt.
     """
 
     endpoint: Endpoint
     expected_ms: float
-    fresh_tokens: int
+    uncached_tokens: int
     reading_tokens: int
     queued_ms: float
 
 
 class Selection:
-    """Chooses endpoints and counts this host's work on them.
+    """Chooses endpoints and tracks this host's load on them.
 
+    :param zone: this host's zone.
     :param fleet: the :class:`Fleet`.
-    :param loads: other hosts' work, by endpoint; see :meth:`Loads.get`.
-    :param engines: the learnt :class:`Engines`.
-    :param demands: the :class:`Demands`, for the time that answers take and
-        what others place.
+    :param loads: the :class:`Loads` of the other hosts.
+    :param engines: the :class:`Engines` with the fitted models.
+    :param demands: the :class:`Demands`, for the duration of answers and
+        the calls of other hosts.
     :param feed: the :class:`Feed`; says whether the hosts use hubs.
+
+    ``tell_others`` is called to report a large prompt to the other hosts
+    immediately.
     """
 
     def __init__(self, clock, zone, fleet, loads, engines, demands, feed):
@@ -56,7 +60,7 @@
         self.demands = demands
         self.feed = feed
         self.prefixes = PrefixIndex()
-        self._placed = []
+        self._placements = []
         self.zones = {}
         self.tell_others = lambda: None
         self.settings = placement.PlacementSettings()
@@ -64,26 +68,26 @@
     def choose(self, call, service, tried):
         """Choose an endpoint of a service.
 
-        :param tried: ids of endpoints to leave out.
-        :returns: :class:`Selected`, or ``None`` if there is none.
+        :param tried: ids of endpoints to exclude.
+        :returns: :class:`Selected`, or ``None`` if no endpoint is left.
         """
         now = self.clock.now()
         endpoints = [
             endpoint
-            for endpoint in self.fleet.of_service(service.name)
+            for endpoint in self.fleet.find_by_service(service.name)
             if endpoint.id not in tried
         ]
         endpoints = self._filter_usable(endpoints, now)
         shared = call.prompt.parts[:-1]
-        candidates = self._describe(endpoints, shared, now)
+        candidates = self._make_candidates(endpoints, shared, now)
         affinity = shared[-1].id if shared else None
-        answer_ms = self.demands.answer_ms(service.name)
+        answer_ms = self.demands.get_answer_ms(service.name)
         shared_tokens = sum(part.tokens for part in shared)
         demand = placement.Demand(
             call.prompt.tokens, affinity, shared_tokens, answer_ms
         )
-        model = self.engines.of_service(service.name)
-        unseen = self._expect_unseen(service.name, answer_ms, model)
+        model = self.engines.find_by_service(service.name)
+        unseen = self._estimate_unseen(service.name, answer_ms, model)
         best, expected_ms = placement.choose(
             candidates, demand, model, self.settings, unseen
         )
@@ -91,39 +95,40 @@
             return None
         endpoint = self.fleet.endpoints[best.id]
         endpoint.pause.note_try(now)
-        self._zone(endpoint).pause.note_try(now)
-        fresh = max(0, call.prompt.tokens - best.cached_tokens)
-        queued_ms = expected_ms - fresh / model.tokens_per_ms
+        self._get_zone_health(endpoint).pause.note_try(now)
+        uncached = max(0, call.prompt.tokens - best.cached_tokens)
+        queued_ms = expected_ms - uncached / model.tokens_per_ms
         return Selected(
-            endpoint, expected_ms, fresh, best.reading_tokens, queued_ms
+            endpoint, expected_ms, uncached, best.reading_tokens, queued_ms
         )
 
     def begin(self, selected, call):
-        """Count a call that is being sent to an endpoint."""
+        """Record that a call is being sent to the selected endpoint."""
         now = self.clock.now()
         selected.endpoint.calls += 1
-        selected.endpoint.reading_tokens += selected.fresh_tokens
+        selected.endpoint.reading_tokens += selected.uncached_tokens
         shared = call.prompt.parts[:-1]
         if shared:
             self.prefixes.note(selected.endpoint.id, shared, now)
-            self._note_placed(selected.endpoint.id, shared)
-        if selected.fresh_tokens >= LARGE_TOKENS:
+            self._record_placement(selected.endpoint.id, shared)
+        if selected.uncached_tokens >= LARGE_TOKENS:
             self.tell_others()
 
-    def _note_placed(self, endpoint_id, shared):
-        """Note a prompt for the other hosts.
+    def _record_placement(self, endpoint_id, shared):
+        """Queue a prompt placement for the next report.
 
-        In a large fleet only beginnings that are worth an endpoint's choice:
-        the others are most of the calls, and would fill the reports.
+        In a fleet with hubs, only shared prefixes long enough to determine
+        the choice of an endpoint: shorter ones belong to most calls and would
+        fill the reports.
         """
         tokens = sum(part.tokens for part in shared)
         if self.feed.through_hubs and tokens < self.settings.affinity_tokens:
             return
         part_ids = tuple(part.id for part in shared)
-        self._placed.append(Placed(endpoint_id, part_ids))
+        self._placements.append(PromptPlacement(endpoint_id, part_ids))
 
-    def _expect_unseen(self, service_name, answer_ms, model):
-        """Return what other hosts have placed since they reported."""
+    def _estimate_unseen(self, service_name, answer_ms, model):
+        """Estimate the calls that other hosts sent since their reports."""
         others = self.demands.others.sum().get(service_name)
         if others is None or not self.feed.through_hubs:
             return placement.NOTHING_UNSEEN
@@ -131,59 +136,61 @@
             others, HUB_REPORT_AGE_MS, answer_ms, model, self.settings
         )
 
-    def take_placed(self):
-        """Return the prompts sent since the last call, for other hosts.
+    def take_placements(self):
+        """Return the prompt placements since the last call of this method.
 
-        :returns: :class:`Placed` with the shared parts' ids.
+        :returns: a tuple of :class:`PromptPlacement`, with the ids of the
+            shared parts.
         """
-        placed, self._placed = self._placed, []
-        return tuple(placed)
+        placements, self._placements = self._placements, []
+        return tuple(placements)
 
-    def mark_read(self, selected):
-        """Count a call's prompt as read: its first token has come."""
-        selected.endpoint.reading_tokens -= selected.fresh_tokens
+    def end_prefill(self, selected):
+        """Record the first token of a call, which ends its prefill."""
+        selected.endpoint.reading_tokens -= selected.uncached_tokens
 
     def end(self, selected):
-        """Count a call as ended."""
+        """Record that a call has ended."""
         selected.endpoint.calls -= 1
 
     def note_first(self, selected, waited_ms):
-        """Learn from the time to the first token of a whole prompt."""
+        """Update the engine model with a call's time to first token."""
         service_name = selected.endpoint.record.service
-        tokens = selected.fresh_tokens + selected.reading_tokens
+        tokens = selected.uncached_tokens + selected.reading_tokens
         self.engines.note_first(service_name, tokens, waited_ms)
 
     def note_answer(self, endpoint):
-        """Note that an endpoint answered, whatever it answered."""
-        self._zone(endpoint).note_answer()
+        """Record any answer from an endpoint, including an error."""
+        self._get_zone_health(endpoint).note_answer()
 
     def note_success(self, endpoint):
-        """Note that an endpoint answered as it should."""
+        """Record a successful answer from an endpoint."""
         endpoint.failures = 0
         endpoint.pause.clear()
 
     def note_failure(self, endpoint, refused=False, silent=False):
-        """Note a failed send.
+        """Record a failed call to an endpoint.
 
-        :param refused: whether no connection stood.
-        :param silent: whether nothing answered at all.
-        :returns: milliseconds for which the endpoint is left alone; 0.
+        :param refused: whether no connection was established.
+        :param silent: whether the endpoint did not respond at all.
+        :returns: milliseconds for which no calls are sent to the endpoint;
+            0 if it is not avoided.
         """
         now = self.clock.now()
         endpoint.failures += 1
         if silent:
-            self._zone(endpoint).note_silence(endpoint.id, now)
+            self._get_zone_health(endpoint).note_silence(endpoint.id, now)
         if not avoidance.should_avoid(endpoint.failures, refused or silent):
             return 0
         endpoint.pause.begin(now)
         return endpoint.pause.length_ms
 
-    def _zone(self, endpoint):
+    def _get_zone_health(self, endpoint):
         zone = endpoint.record.zone
         return self.zones.setdefault(zone, avoidance.ZoneHealth())
 
     def _filter_usable(self, endpoints, now):
-        """Leave out endpoints and zones that are left alone now."""
+        """Exclude endpoints that are paused or in a paused zone."""
         paused = {
             name for name, zone in self.zones.items() if zone.pause.holds(now)
         }
@@ -195,7 +202,7 @@
             endpoints, lambda item: item.pause.until_ms > now
         )
 
-    def _describe(self, endpoints, shared, now):
+    def _make_candidates(self, endpoints, shared, now):
         """Return a :class:`Candidate` for each endpoint."""
         cached = self.prefixes.find_cached(shared, now)
         loads = self.loads.sum()
--- a/tests/reportbuilders.py
+++ b/tests/reportbuilders.py
@@ -1,4 +1,4 @@
-"""Builders of what hosts tell each other."""
+"""Builders of host reports for tests."""
 
 import dataclasses
 
@@ -6,7 +6,7 @@
 
 
 def make_report(run, number, **fields):
-    """Return a report; empty but for ``fields``."""
+    """Return a report that is empty except for ``fields``."""
     report = reports.HostReport(
         run=run,
         number=number,
--- a/tests/test_demand.py
+++ b/tests/test_demand.py
@@ -36,13 +36,13 @@
 
 @pytest.mark.parametrize('tokens_per_ms', [10, 25, 55, 112, 300])
 def test_the_reading_speed_is_learnt(tokens_per_ms):
-    model = learn(tokens_per_ms, 45).of_service('s')
+    model = learn(tokens_per_ms, 45).find_by_service('s')
     assert model.tokens_per_ms == pytest.approx(tokens_per_ms, rel=0.2)
     assert model.expect_ms(0) == pytest.approx(45, abs=25)
 
 
 def test_late_answers_of_faulty_endpoints_teach_nothing():
-    model = learn(112, 45, spoilt=0.1).of_service('s')
+    model = learn(112, 45, spoilt=0.1).find_by_service('s')
     assert model.tokens_per_ms == pytest.approx(112, rel=0.25)
 
 
@@ -52,7 +52,7 @@
     for _ in range(800):
         tokens = min(40_000, rng.lognormvariate(7.5, 1.2))
         engines.note_first('s', tokens, 45 + tokens / 40)
-    model = engines.of_service('s')
+    model = engines.find_by_service('s')
     assert model.tokens_per_ms == pytest.approx(40, rel=0.2)
 
 
@@ -66,7 +66,7 @@
     engines = Engines(Clock())
     for tokens, waited_ms in answers:
         engines.note_first('s', tokens, waited_ms)
-    model = engines.of_service('s')
+    model = engines.find_by_service('s')
     guess = engines.settings.tokens_per_ms
     most = engines.settings.most_times
     assert guess / most <= model.tokens_per_ms * 1.001
@@ -76,14 +76,14 @@
 
 def test_a_host_that_started_knows_what_the_others_learnt():
     engines = Engines(Clock())
-    assert engines.of_service('s').tokens_per_ms == pytest.approx(55)
+    assert engines.find_by_service('s').tokens_per_ms == pytest.approx(55)
     for number in range(8):
         run = Run(f'h{number}', 1, 'z')
         engines.others.put(run, learn(112, 45, 12, number).own)
-    model = engines.of_service('s')
+    model = engines.find_by_service('s')
     assert model.tokens_per_ms == pytest.approx(112, rel=0.25)
     # Alone it would be far off after so few answers.
-    alone = learn(112, 45, 12).of_service('s')
+    alone = learn(112, 45, 12).find_by_service('s')
     assert alone.tokens_per_ms < 0.75 * 112
 
 
--- a/tests/test_endpoint_entries.py
+++ b/tests/test_endpoint_entries.py
@@ -156,7 +156,7 @@
     assert (new.calls, new.failures, new.pause) == (0, 0, Pause())
     assert new.id not in host.selection.prefixes.find_cached(parts, now)
     assert host.loads.get(new.id) == Load()
-    assert len(host.fleet.of_service('model')) == 1
+    assert len(host.fleet.find_by_service('model')) == 1
 
 
 def test_a_stale_entry_never_replaces_a_newer_start():
@@ -176,7 +176,7 @@
     take(follower, 'e1', encode())
     take(follower, 'e1', encode(state='draining'))
     assert find(follower).record.state is EndpointState.LEAVING
-    assert follower.host.fleet.of_service('model') == []
+    assert follower.host.fleet.find_by_service('model') == []
 
 
 def test_a_removed_entry_is_waited_for_from_the_stores_return_on():
--- a/tests/test_feed.py
+++ b/tests/test_feed.py
@@ -1,4 +1,4 @@
-"""The list of endpoints, read by some hosts and passed on to others."""
+"""Change feeds: topic changes read by some hosts and sent to others."""
 
 import asyncio
 
@@ -26,11 +26,11 @@
 
 
 class FeedMachine(RuleBasedStateMachine):
-    """Two hosts read a log and pass on what they read, with losses.
+    """Two hosts read a log and send its changes to a third, with losses.
 
-    A third one follows them, and reads the log itself after a gap or
-    without news.  What it knows is always what the log held at its
-    position, however batches are lost, late or doubled.
+    The third host applies the received batches, and reads the log itself
+    after a gap or a timeout.  Its state must always match the log up to its
+    position, even if batches are lost, delayed or duplicated.
     """
 
     def __init__(self):
@@ -39,7 +39,7 @@
         self.log = []
         self.positions = [0, 0]
         self.feeds = [Feed(Clock()), Feed(Clock())]
-        self.on_the_way = []
+        self.in_transit = []
         self.feed = Feed(Clock())
         self.position = 0
         self.state = {}
@@ -62,16 +62,16 @@
         )
 
     @rule(reader=READERS, lost=st.booleans())
-    def make_round(self, reader, lost):
-        batches = self.feeds[reader].take_unsent()
+    def send_round(self, reader, lost):
+        batches = self.feeds[reader].take_pending()
         if not lost:
-            self.on_the_way.extend(batches)
+            self.in_transit.extend(batches)
 
     @rule(data=st.data())
     def deliver(self, data):
-        if self.on_the_way:
-            index = data.draw(st.integers(0, len(self.on_the_way) - 1))
-            self.feed.offer(self.on_the_way[index])
+        if self.in_transit:
+            index = data.draw(st.integers(0, len(self.in_transit) - 1))
+            self.feed.offer(self.in_transit[index])
 
     @rule()
     def follow(self):
@@ -88,7 +88,7 @@
         self.position = batch.next
 
     @invariant()
-    def knows_the_log_at_its_position(self):
+    def state_matches_the_log_at_its_position(self):
         expected = {}
         apply_changes(expected, self.log[: self.position])
         assert self.state == expected
--- a/tests/test_late_drains.py
+++ b/tests/test_late_drains.py
@@ -101,13 +101,13 @@
     """Return the milliseconds from the drain until it is acted on."""
     fleet = follower.host.fleet
     await wait_until(lambda: store.drained_ms is not None)
-    await wait_until(lambda: fleet.of_service('model') == [])
+    await wait_until(lambda: fleet.find_by_service('model') == [])
     return store.clock.since(store.drained_ms)
 
 
 async def tell_late(follower, store):
     """Have another host pass on a read that missed a drain, and no more."""
-    await wait_until(lambda: follower.host.fleet.of_service('model'))
+    await wait_until(lambda: follower.host.fleet.find_by_service('model'))
     position = len(store.records)
     waited_ms = follower.wait_ms
     store.drain()
@@ -117,7 +117,7 @@
 
 async def fall_silent(follower, store):
     """Have the host that reads fall silent just before a drain."""
-    await wait_until(lambda: follower.host.fleet.of_service('model'))
+    await wait_until(lambda: follower.host.fleet.find_by_service('model'))
     position = len(store.records)
     follower.host.feed.offer(TopicFeed(position, position, (), 0))
     store.drain()
--- a/tests/test_rooms.py
+++ b/tests/test_package_imports.py
@@ -1,4 +1,4 @@
-"""Imports between the packages go one way only."""
+"""The layering of the packages: imports only from lower layers."""
 
 import ast
 import pathlib
@@ -7,7 +7,8 @@
 
 ROOT = pathlib.Path(pearrun.__file__).parent
 
-# A package may import those after it, and flat modules.
+# Layers from the top down: a package may import those listed after it, and the
+# top-level modules of pearrun.
 ORDER = (
     'bench',
     'standins',
@@ -20,9 +21,9 @@
 )
 
 
-def imported_rooms(path):
+def find_imported_packages(path):
     """Return the packages that a module imports from."""
-    rooms = set()
+    packages = set()
     for node in ast.walk(ast.parse(path.read_text())):
         match node:
             case ast.ImportFrom(module=str(name)):
@@ -34,22 +35,22 @@
         for name in names:
             parts = name.split('.')
             if parts[0] == 'pearrun' and len(parts) > 1:
-                rooms.add(parts[1])
-    return rooms & set(ORDER)
+                packages.add(parts[1])
+    return packages & set(ORDER)
 
 
-def test_packages_import_only_what_is_below_them():
-    for position, room in enumerate(ORDER):
-        above = set(ORDER[:position])
-        for path in (ROOT / room).glob('*.py'):
-            assert not imported_rooms(path) & above, path
+def test_packages_import_only_from_lower_layers():
+    for position, package in enumerate(ORDER):
+        higher = set(ORDER[:position])
+        for path in (ROOT / package).glob('*.py'):
+            assert not find_imported_packages(path) & higher, path
 
 
-def test_only_the_adapter_and_stand_ins_know_the_wire():
+def test_only_platform_adapter_and_stand_ins_use_the_wire_format():
     words = ('pearrun-attempt-id', 'keyed.', 'log-append', 'PEARRUN_BOOT')
     for path in ROOT.rglob('*.py'):
-        room = path.relative_to(ROOT).parts[0]
-        if room in ('platform', 'standins'):
+        package = path.relative_to(ROOT).parts[0]
+        if package in ('platform', 'standins'):
             continue
         text = path.read_text().lower()
         for word in words:
--- a/tests/test_peerlinks.py
+++ b/tests/test_peerlinks.py
@@ -1,4 +1,4 @@
-"""Links of hosts that start together."""
+"""Peer links and report rounds, mainly while hosts start and stop."""
 
 import asyncio
 import dataclasses
@@ -21,7 +21,7 @@
 from tests.test_topology import play_with_hubs
 
 
-def test_hosts_that_start_a_little_later_are_not_taken_to_be_down():
+def test_unreachable_hosts_are_not_down_during_startup():
     """After a loss of all hosts, hubs may be the last to listen again."""
 
     async def main():
@@ -31,23 +31,23 @@
             member = first.host.members.members['host-2']
             gone = dataclasses.replace(member, address='127.0.0.1:9')
             links = first.make_links()
-            linking = asyncio.create_task(links._keep_link(gone))
+            link_task = asyncio.create_task(links._maintain_link(gone))
             await asyncio.sleep(0.5)
             assert not links.down
-            await asyncio.sleep(peerlinks.STARTING_MS / 1000.0)
+            await asyncio.sleep(peerlinks.STARTUP_MS / 1000.0)
             assert gone in links.down
-            linking.cancel()
+            link_task.cancel()
 
     asyncio.run(main())
 
 
-def test_rounds_follow_sooner_after_a_start():
+def test_round_interval_is_shorter_after_a_start():
     async def main():
         host = make_host_context()
-        made = reporter.Reporter(host, 1, None)
-        assert made._round_ms() == reporter.FIRST_ROUND_MS
-        made.begun_ms -= reporter.STARTING_MS
-        assert made._round_ms() == reporter.ROUND_MS
+        own_reporter = reporter.Reporter(host, 1, None)
+        assert own_reporter._round_interval_ms() == reporter.STARTUP_ROUND_MS
+        own_reporter.created_ms -= reporter.STARTUP_MS
+        assert own_reporter._round_interval_ms() == reporter.ROUND_MS
 
     asyncio.run(main())
 
@@ -58,7 +58,7 @@
         hubs = {d.settings.name for d in find_hubs(daemons)}
         for name in names:
             await site.hosts.pop(name).end()
-        # Those that were no hubs are up first.
+        # Start the former hubs last.
         for name in sorted(names, key=lambda name: name in hubs):
             number = int(name.rpartition('-')[2])
             await site.add_host(number, names[name])
@@ -74,8 +74,8 @@
     play_with_hubs(scenario, monkeypatch)
 
 
-def test_a_host_ends_soon_beside_a_peer_that_answers_nothing():
-    """Hosts that stop beside a cut-off one were killed in the end."""
+def test_a_host_with_an_unresponsive_peer_stops_quickly():
+    """Hosts that waited for a cut-off peer's close frame were killed."""
 
     async def main():
         async with run_site(make_config(), hosts=1) as site:
@@ -92,45 +92,41 @@
     asyncio.run(main())
 
 
-def test_a_hub_with_a_slow_link_makes_fewer_rounds():
-    """A host with a link of 5 Mbit/s followed its zone's hubs, which ended.
+def test_a_hub_with_a_slow_link_sends_fewer_rounds():
+    """Guards against a hub that saturates its own link.
 
-    It sent 40 KB to 26 hosts five times a second, 42 Mbit/s.  For 5 s it
-    reached neither the store nor the other hosts, and passed calls on to
-    endpoints that had left.
-
-        43.23 front-pnw-portland-17 role among hosts is_hub=true targets=26
-        45.79 front-pnw-portland-17 peer link down: keepalive ping timeout
-        48.20 front-pnw-portland-17 store lost: /log-read
-        51.32 front-pnw-portland-17 endpoint removed (44.92 elsewhere)
+    A host with a link of 5 Mbit/s became a hub after its zone's hubs had
+    ended.  It sent 40 KB to 26 hosts five times per second, 42 Mbit/s.  For
+    5 s it reached neither the store nor the other hosts, and sent calls to
+    endpoints that had left; it removed one 6.4 s later than other hosts.
     """
 
     async def main():
         host = make_host_context()
         host.settings = dataclasses.replace(host.settings, link_mbps=5.0)
-        made = reporter.Reporter(host, 1, None)
-        made.begun_ms -= reporter.STARTING_MS
-        made.plan = LinkPlan(False, True, True, frozenset())
-        made._make = object
-        told = asyncio.create_task(made.run())
+        own_reporter = reporter.Reporter(host, 1, None)
+        own_reporter.created_ms -= reporter.STARTUP_MS
+        own_reporter.plan = LinkPlan(False, True, True, frozenset())
+        own_reporter._make_round = object
+        running = asyncio.create_task(own_reporter.run())
         rounds = 0
         began_ms = host.clock.now()
         while host.clock.since(began_ms) < 1500:
-            await made.next_round()
+            await own_reporter.wait_for_round()
             rounds += 1
             for _ in range(20):
-                made.bundle([random.randbytes(4000)])
-            made.tell_at_once()
-        told.cancel()
+                own_reporter.bundle([random.randbytes(4000)])
+            own_reporter.trigger_round()
+        running.cancel()
         sent_bytes = rounds * 20 * 4000
         allowed_bytes = 5.0 * reporter.LINK_SHARE * 1e6 / 8 * 1.5
-        # One round may be sent before the first wait, one at the end.
+        # One round may be sent before the first delay and one at the end.
         assert sent_bytes <= allowed_bytes + 2 * 20 * 4100
 
     asyncio.run(main())
 
 
-def test_a_large_bundle_is_compressed_and_a_damaged_one_refused():
+def test_a_large_bundle_is_compressed_and_a_damaged_one_rejected():
     message = reports.encode(reports.HostEnded('front-zone-a-1' * 400))
     data = reports.encode_bundle('h', True, [message])
     assert len(data) < 1000
--- a/tests/test_platform_adapter.py
+++ b/tests/test_platform_adapter.py
@@ -28,7 +28,7 @@
 from pearrun.shared.clocksync import CorrectedClock
 from pearrun.shared.configuration import CallKind
 from pearrun.shared.loads import Load
-from pearrun.shared.prompts import Placed
+from pearrun.shared.prompts import PromptPlacement
 from pearrun.shared.quotas import Admitted
 from pearrun.shared.run import Run
 from pearrun.shared.usageboard import UsageBoard
@@ -206,7 +206,7 @@
         config_age_ms=12,
         loads={'e': Load(2, 900)},
         admitted={'anna': Admitted(10, 2)},
-        placed=(Placed('e', ('p', 'q')),),
+        placed=(PromptPlacement('e', ('p', 'q')),),
         duty=reports.DutyNotice(HostName('h'), 9, 12, 150),
         demands={'s': Demand(2.5, 900, 1_000_000, 800)},
         engines={'s': LineSums(12.25, 4000, 700, 5_000_000, 90_000)},
--- a/tests/test_platform_duties.py
+++ b/tests/test_platform_duties.py
@@ -160,7 +160,7 @@
         async with run_site(config, runners, hosts=2) as site:
             one, two = site.hosts.values()
             site.runners['m1'].event_ms = 400
-            await wait_until(lambda: len(two.reports.versions) == 1)
+            await wait_until(lambda: len(two.reports.config_versions) == 1)
             task = asyncio.create_task(
                 call(one, '/long/', 'a1', 'POST', **make_prompt())
             )
@@ -183,7 +183,9 @@
         async with run_site(make_config(), runners, hosts=3) as site:
             one, *others = site.hosts.values()
             await wait_until(
-                lambda: all(len(o.reports.versions) == 2 for o in others)
+                lambda: all(
+                    len(o.reports.config_versions) == 2 for o in others
+                )
             )
             parts = 'aa:100,bb:50,cc:50'
             await call(one, '/long/', 'a', 'POST', **make_prompt(parts))
@@ -208,7 +210,7 @@
         async with run_site(make_config(), runners, hosts=2) as site:
             one, two = site.hosts.values()
             site.runners['m1'].event_ms = 500
-            await wait_until(lambda: len(two.reports.versions) == 1)
+            await wait_until(lambda: len(two.reports.config_versions) == 1)
             waits = []
             for number in range(3):
                 task = asyncio.create_task(
@@ -235,7 +237,7 @@
     async def main():
         async with run_site(make_config(), PLAIN, hosts=2) as site:
             one, two = site.hosts.values()
-            await wait_until(lambda: len(two.reports.versions) == 1)
+            await wait_until(lambda: len(two.reports.config_versions) == 1)
             two_address = two.store.settings.address
             two.store.pool.address = '127.0.0.1:9'
             two.store.pool.close()
@@ -253,10 +255,10 @@
     async def main():
         async with run_site(make_config(), PLAIN, hosts=2) as site:
             one, two = site.hosts.values()
-            await wait_until(lambda: len(one.reports.versions) == 1)
+            await wait_until(lambda: len(one.reports.config_versions) == 1)
             await two.end()
             del site.hosts['host-2']
-            await wait_until(lambda: not one.reports.versions)
+            await wait_until(lambda: not one.reports.config_versions)
 
     asyncio.run(main())
 
@@ -402,7 +404,9 @@
             service = daemon.host.config.current.services['model']
             known = scaler._find_slots(service)
             site.store.put('servers', 'm1', None)
-            await wait_until(lambda: not daemon.host.fleet.of_service('model'))
+            await wait_until(
+                lambda: not daemon.host.fleet.find_by_service('model')
+            )
             assert scaler._find_slots(service) == known == 8
             assert Scaler(daemon.host, None)._find_slots(service) == 8
 
--- a/tests/test_platform_path.py
+++ b/tests/test_platform_path.py
@@ -449,7 +449,7 @@
             site.list_runner(first)
             listed_ms = daemon.clock.now()
             await wait_until(
-                lambda: daemon.host.fleet.of_service('plain') == []
+                lambda: daemon.host.fleet.find_by_service('plain') == []
             )
             drain_ms = daemon.settings.drain_ms
             assert daemon.clock.since(listed_ms) < 0.8 * drain_ms
@@ -519,12 +519,14 @@
         first = site.runners['p1']
         first.state = 'draining'
         site.list_runner(first)
-        await wait_until(lambda: len(host.host.fleet.of_service('plain')) == 1)
+        await wait_until(
+            lambda: len(host.host.fleet.find_by_service('plain')) == 1
+        )
         for number in range(3):
             assert (await call(host, '/once/', f'a{number}')).status == 200
         assert not first.runs
         site.store.put('servers', 'p2', None)
-        await wait_until(lambda: not host.host.fleet.of_service('plain'))
+        await wait_until(lambda: not host.host.fleet.find_by_service('plain'))
         assert (await call(host, '/once/', 'b')).status == 503
 
     play(scenario, runners=PLAIN_TWO)
--- a/tests/test_topology.py
+++ b/tests/test_topology.py
@@ -200,7 +200,7 @@
     for daemon in daemons:
         await wait_until(
             lambda daemon=daemon: (
-                len(daemon.host.fleet.of_service('plain')) == count
+                len(daemon.host.fleet.find_by_service('plain')) == count
             )
         )
 
@@ -292,7 +292,7 @@
                 if daemon is not reader:
                     await wait_until(
                         lambda daemon=daemon: (
-                            daemon.host.fleet.of_service('plain') == []
+                            daemon.host.fleet.find_by_service('plain') == []
                         )
                     )
             drain_ms = reader.settings.drain_ms
