--- a/pearrun/shared/host.py
+++ b/pearrun/shared/host.py
@@ -110,7 +110,7 @@
         self.quarantine.note_heard(endpoint_id, asked_ms)
 
     def drop_endpoint(self, endpoint, reason):
-        """Remove all state of an endpoint that has left."""
+        """Remove an endpoint that has left, and its connections."""
         removed = self.fleet.remove(endpoint.id)
         self.crashes.note_removed(endpoint.id)
         self.pools.remove(endpoint.id)
