--- a/pearrun/platform/membership.py
+++ b/pearrun/platform/membership.py
@@ -81,7 +81,7 @@
 
     def get_read_deadline_ms(self):
         """See :class:`SharedFollower`."""
-        if self.host.feed.is_heard():
+        if self.host.feed.is_reader_active():
             return self.list_read_ms + MAX_LIST_AGE_MS
         return self.list_read_ms + LOCAL_READ_INTERVAL_MS
 
@@ -119,7 +119,7 @@
         if name == self.own_member.name:
             self.registered = False
         if self.host.members.remove(name) is not None:
-            self.host.forget_host(name)
+            self.host.remove_host_reports(name)
             logger.bind(host=name).info('host removed')
 
 
--- a/tests/test_endpoint_entries.py
+++ b/tests/test_endpoint_entries.py
@@ -156,7 +156,7 @@
     assert (new.calls, new.failures, new.pause) == (0, 0, Pause())
     assert new.id not in host.selection.prefixes.find_cached(parts, now)
     assert host.loads.get(new.id) == Load()
-    assert len(host.fleet.of_service('model')) == 1
+    assert len(host.fleet.find_by_service('model')) == 1
 
 
 def test_stale_entry_never_replaces_a_newer_run():
@@ -176,7 +176,7 @@
     apply_change(follower, 'e1', encode())
     apply_change(follower, 'e1', encode(state='draining'))
     assert find(follower).record.state is EndpointState.LEAVING
-    assert follower.host.fleet.of_service('model') == []
+    assert follower.host.fleet.find_by_service('model') == []
 
 
 def test_removal_grace_period_starts_at_the_stores_recovery():
--- a/tests/test_late_drains.py
+++ b/tests/test_late_drains.py
@@ -91,13 +91,13 @@
     """Return the milliseconds from the drain until it is acted on."""
     fleet = follower.host.fleet
     await wait_until(lambda: store.drained_ms is not None)
-    await wait_until(lambda: fleet.of_service('model') == [])
+    await wait_until(lambda: fleet.find_by_service('model') == [])
     return store.clock.since(store.drained_ms)
 
 
 async def forward_late_read(follower, store):
     """Forward one read of another host that missed the drain, then none."""
-    await wait_until(lambda: follower.host.fleet.of_service('model'))
+    await wait_until(lambda: follower.host.fleet.find_by_service('model'))
     position = len(store.records)
     waited_ms = follower.wait_ms
     store.drain()
@@ -107,7 +107,7 @@
 
 async def stop_forwarding(follower, store):
     """Forward an empty read just before the drain, then none."""
-    await wait_until(lambda: follower.host.fleet.of_service('model'))
+    await wait_until(lambda: follower.host.fleet.find_by_service('model'))
     position = len(store.records)
     follower.host.feed.offer(TopicFeed(position, position, (), 0))
     store.drain()
