--- a/benchmarks/quarantine.py
+++ b/benchmarks/quarantine.py
@@ -21,7 +21,7 @@
 from pearrun.fingerprints import make_fingerprint
 from pearrun.shared import suspects
 from pearrun.shared.quarantine import MAX_ANSWERED
-from pearrun.shared.quarantine import MAX_TOLD
+from pearrun.shared.quarantine import MAX_SENT
 from pearrun.shared.quarantine import Quarantine
 
 FLAGS = flags.FLAGS
@@ -77,7 +77,9 @@
     measure(
         'answer noted', lambda number: quarantine.note_answered(calls[number])
     )
-    measure('round with no suspects', lambda number: quarantine.take_told())
+    measure(
+        'round with no suspects', lambda number: quarantine.collect_updates()
+    )
     tracemalloc.start()
     before, _ = tracemalloc.get_traced_memory()
     fresh = Quarantine(clock)
@@ -89,12 +91,12 @@
         make_suspect(number, clock.now())
         for number in range(QuarantineSettings.max_suspects)
     ]
-    fresh.merge(known, 'benchmark', pass_on=False)
+    fresh.merge(known, 'benchmark', forward=False)
     full, _ = tracemalloc.get_traced_memory()
     print(f'{len(known)} suspects at their limit: {full - after} bytes')
     tracemalloc.stop()
-    told = [suspects.to_fields(item) for item in fresh.list_known()]
-    print(f'note of {MAX_TOLD} of them: {len(cbor2.dumps(told))} bytes')
+    told = [suspects.to_fields(item) for item in fresh.take_snapshot()]
+    print(f'note of {MAX_SENT} of them: {len(cbor2.dumps(told))} bytes')
     begun = time.process_time()
     fresh.known.judge(clock.now())
     spent = time.process_time() - begun
--- a/pearrun/api/crashes.py
+++ b/pearrun/api/crashes.py
@@ -16,7 +16,7 @@
 from pearrun.decisions.evidence import runs_well
 from pearrun.decisions.evidence import select_worst
 from pearrun.shared import suspects
-from pearrun.shared.crashcheck import is_down
+from pearrun.shared.crashprobe import is_down
 from pearrun.shared.quarantine import Quarantine
 from pearrun.states import EndpointState
 
@@ -96,7 +96,7 @@
         ran_well = runs_well(ran_ms, ran_ms if progressed else 0)
         crash_id = self._name_crash(endpoint.id, now)
         crash = Crash(crash_id, now, ran_ms, ran_well)
-        self.quarantine.take_crashes([(job.fingerprint, crash)])
+        self.quarantine.handle_crashes([(job.fingerprint, crash)])
 
     def describe(self):
         """Return what other daemons are told: JSON-ready."""
@@ -118,7 +118,7 @@
             logger.warning('suspects left aside', error=str(exc))
             return
         dated = [item.to_clock(wall, now) for item in known]
-        self.quarantine.merge(dated, 'beat', pass_on=False)
+        self.quarantine.merge(dated, 'beat', forward=False)
 
     def _name_crash(self, endpoint_id, now):
         """Return the name of an endpoint's crash that was noticed now."""
--- a/pearrun/platform/daemon.py
+++ b/pearrun/platform/daemon.py
@@ -238,7 +238,9 @@
             'endpoint_list_age_ms': self.host.list_age_ms(now) or -1,
             'hosts': self.host.count_hosts(),
             'endpoint_crashes_total': self.host.crashes.total,
-            'lease_held': int(self.duties is not None and self.duties.held),
+            'lease_held': int(
+                self.duties is not None and self.duties.was_holder
+            ),
             'quarantined': len(self.host.quarantine.known.quarantined),
             'quarantine_refusals_total': self.host.quarantine.refused,
             'store_calls_total': self.store.calls.total(),
--- a/pearrun/platform/endpointlist.py
+++ b/pearrun/platform/endpointlist.py
@@ -61,7 +61,7 @@
     def take_all(self, records, asked_ms):
         """See :class:`Follower`."""
         listed = {record.key for record in records}
-        self.host.crashes.note_missed()
+        self.host.crashes.restart_proofs()
         for record in records:
             self._put(record)
         for endpoint in list(self.host.fleet.endpoints.values()):
@@ -85,7 +85,7 @@
     def _confirm(self, asked_ms):
         fleet = self.host.fleet
         fleet.listed_ms = max(fleet.listed_ms or 0, asked_ms)
-        self.host.config.confirm_alive(self.host.clock.now())
+        self.host.config.confirm_while_polling(self.host.clock.now())
 
     def _put(self, record):
         entry = self.decode(decoding.decode_endpoint, record.key, record.value)
--- a/pearrun/platform/quarantinelog.py
+++ b/pearrun/platform/quarantinelog.py
@@ -67,7 +67,7 @@
             return
         # Other hosts' clocks of monotonic time mean nothing here.
         dated = suspect.to_clock(self.host.time.wall(), self.host.clock.now())
-        self.quarantine.merge([dated], 'store', pass_on=True)
+        self.quarantine.merge([dated], 'store', forward=True)
 
     def _remove(self, key):
         self.stored.discard(key)
--- a/pearrun/platform/usagelog.py
+++ b/pearrun/platform/usagelog.py
@@ -5,7 +5,7 @@
 
 from pearrun import exceptions
 from pearrun.shared import cbor
-from pearrun.shared.usagesaving import SavedRun
+from pearrun.shared.usagesaver import SavedRun
 
 TOPIC = 'usage'
 
--- a/pearrun/relay/exchange.py
+++ b/pearrun/relay/exchange.py
@@ -10,7 +10,7 @@
 from pearrun.relay.outcomes import Unknown
 from pearrun.relay.verdicts import Verdict
 from pearrun.shared.configuration import CallKind
-from pearrun.shared.crashes import BrokenCall
+from pearrun.shared.crashdetector import BrokenCall
 
 # Answers of plain services are read whole up to this size before they
 # are passed on, so that a broken one can still become an error.
--- a/pearrun/relay/relay.py
+++ b/pearrun/relay/relay.py
@@ -160,7 +160,7 @@
 
     def _may_run_again(self, call, service, trace):
         return (
-            call.route.repeatable
+            call.route.retryable
             and trace.runs < call.route.max_attempts
             and len(trace.tries) < MOST_OFFERS
             and self._may_repeat(service)
@@ -203,7 +203,7 @@
         Its own calls refused meanwhile come back too, so the time until
         the first of them passes is drawn out.
         """
-        wait_ms = QUOTA_SPREAD * self.host.quotas.wait_ms(call)
+        wait_ms = QUOTA_SPREAD * self.host.quotas.get_wait_ms(call)
         return self._return_after(call, wait_ms)
 
     def _return_after(self, call, wait_ms):
--- a/pearrun/relay/trace.py
+++ b/pearrun/relay/trace.py
@@ -111,7 +111,7 @@
             left_ms=call.timeout_at_ms - now_ms,
             tokens=call.prompt.tokens,
             units=round(call.units),
-            quota_left=host.quotas.level(call),
+            quota_left=host.quotas.get_level(call),
             config=host.config.version,
             list_age_ms=host.list_age_ms(now_ms),
             fingerprint=self.fingerprint,
--- a/pearrun/shared/confighistory.py
+++ b/pearrun/shared/activeconfig.py
@@ -1,14 +1,15 @@
-"""The newest configuration this host has seen."""
+"""The newest configuration that this host has received."""
 
 from loguru import logger
 
 
-class ConfigHistory:
-    """Holds the configuration in force; its version only grows.
+class ActiveConfig:
+    """Holds the configuration in force; its version only increases.
 
-    ``confirmed_ms`` is when the newest version was last known to be
-    ours, from the store or from a peer that had read it there.
-    ``followed`` says that a read waits at the store for a newer one.
+    ``confirmed_ms`` is the last time at which this version was known to
+    be the newest, from the store or from a peer that had read it there.
+    ``followed`` tells whether a long poll for a newer version is open at
+    the store.
     """
 
     def __init__(self, clock):
@@ -20,32 +21,36 @@
 
     @property
     def version(self):
-        """The version in force; 0 before the first one."""
+        """The version in force; 0 before any was received."""
         return self.current.version if self.current else 0
 
     def age_ms(self):
-        """Return how long ago the version was confirmed as the newest."""
+        """Return the time since this version was confirmed as the newest.
+
+        :returns: milliseconds; a very large number if it never was.
+        """
         if self.confirmed_ms is None:
             return 1 << 40
         return self.clock.since(self.confirmed_ms)
 
     def confirm(self, at_ms):
-        """Note that nothing newer existed at a moment."""
+        """Record that no newer version existed at a given time."""
         self.confirmed_ms = max(self.confirmed_ms or 0, at_ms)
 
-    def confirm_alive(self, at_ms):
-        """Note that the store answered another read at a moment.
+    def confirm_while_polling(self, at_ms):
+        """Record that the store answered some other read at a given time.
 
-        While a read waits there for a newer version, none existed then.
+        If a long poll for a newer version was open then, no newer version
+        existed.
         """
         if self.followed:
             self.confirm(at_ms)
 
     def offer(self, config, source):
-        """Take a configuration if it is newer than the one in force.
+        """Adopt a configuration if it is newer than the one in force.
 
         :param source: ``store`` or the name of a peer.
-        :returns: whether it was taken.
+        :returns: whether it was adopted.
         """
         if config.version <= self.version:
             return False
--- a/pearrun/shared/configuration.py
+++ b/pearrun/shared/configuration.py
@@ -1,4 +1,4 @@
-"""The operator's configuration, as typed and indexed data."""
+"""The operator's configuration as typed, indexed data."""
 
 import dataclasses
 import enum
@@ -9,7 +9,7 @@
 
 
 class CallKind(enum.Enum):
-    """What may be repeated of a route's calls."""
+    """Whether calls of a route may be retried."""
 
     IDEMPOTENT = 'idempotent'
     NON_IDEMPOTENT = 'non_idempotent'
@@ -18,7 +18,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class WeightedService:
-    """One of the services that share a route's calls."""
+    """One of the services among which a route splits its calls."""
 
     name: ServiceName
     weight: float = 1.0
@@ -26,7 +26,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Route:
-    """Where calls with one host name and path prefix go."""
+    """Maps a host name and path prefix to services."""
 
     name: RouteName
     host: str
@@ -41,8 +41,8 @@
     resumable: bool = False
 
     @property
-    def repeatable(self):
-        """Whether a call may run more than once."""
+    def retryable(self):
+        """Whether a call may be executed more than once."""
         if self.kind is CallKind.STREAM:
             return self.resumable
         return self.kind is CallKind.IDEMPOTENT
@@ -50,7 +50,10 @@
 
 @dataclasses.dataclass(frozen=True)
 class EngineProfile:
-    """What the model engines of a service can hold at once."""
+    """Concurrency of the model engines of a service.
+
+    :param slots: requests that an engine processes at the same time.
+    """
 
     slots: int
 
@@ -59,12 +62,13 @@
 class ScaleLimits:
     """How many endpoints may be ordered in each zone, and at what price.
 
-    :param smallest: fewest endpoints in a zone, both kinds together.
-    :param largest: most endpoints in a zone, both kinds together.
+    :param smallest: minimum number of endpoints in a zone, reclaimable and
+        on-demand ones together.
+    :param largest: maximum number of endpoints in a zone, of both kinds.
     :param boot_ms: milliseconds until an ordered endpoint serves.
-    :param reclaimable_price: price of a reclaimable endpoint as a share
-        of the price of another one.
-    :param zone_prices: cost of an endpoint's second by zone.
+    :param reclaimable_price: price of a reclaimable endpoint as a fraction
+        of the price of an on-demand one.
+    :param zone_prices: price of an endpoint per second, by zone.
     """
 
     smallest: int
@@ -86,12 +90,12 @@
 
 @dataclasses.dataclass(frozen=True)
 class Customer:
-    """Who calls, and how much of it is allowed.
+    """A caller with its API keys and its quota.
 
-    :param rate_per_s: units refilled in a second; 0 means no limit.
-    :param burst: units that may be used at once.
-    :param counts_tokens: whether a unit is a token, not a call.
-    :param plain_tokens: tokens that a call without a count stands for.
+    :param rate_per_s: units refilled per second; 0 means no limit.
+    :param burst: capacity of the token bucket, in units.
+    :param counts_tokens: whether a unit is a token rather than a call.
+    :param plain_tokens: tokens charged for a call that states no count.
     """
 
     name: CustomerId
@@ -106,9 +110,9 @@
 class Configuration:
     """One version of the operator's configuration.
 
-    :param version: grows with every change.
-    :param raw: the encoded form, passed on to peers.
-    :param has_customers: whether calls need a key.
+    :param version: increases with every change.
+    :param raw: the encoded form, which is forwarded to peers.
+    :param has_customers: whether calls need an API key.
     """
 
     def __init__(self, version, routes, services, customers, limits, raw):
@@ -129,7 +133,7 @@
             group.sort(key=lambda route: -len(route.path_prefix))
 
     def find_route(self, host, path):
-        """Return the route with the longest prefix of a path.
+        """Return the route with the longest matching path prefix.
 
         :param host: the host name without its port.
         :param path: the path without its query.
@@ -141,5 +145,5 @@
         return None
 
     def find_customer(self, key):
-        """Return the customer that holds a key, or ``None``."""
+        """Return the customer that owns an API key, or ``None``."""
         return self._by_key.get(key)
--- a/pearrun/shared/counters.py
+++ b/pearrun/shared/counters.py
@@ -1,4 +1,4 @@
-"""Counters and latency histograms of one host, as metrics text."""
+"""Counters and latency histograms of one host in text format."""
 
 from pearrun.metrics import new_histogram
 from pearrun.metrics import record
@@ -7,10 +7,10 @@
 
 
 class Counters:
-    """Counts calls by ending and keeps their latencies.
+    """Counts calls by outcome and records their latencies.
 
-    Histograms are in milliseconds, one a route for the first byte and
-    one for the whole answer.
+    There are two histograms per route, in milliseconds: the time to the
+    first byte and the time to the end of the response.
     """
 
     def __init__(self):
@@ -22,7 +22,7 @@
         self.total = {}
 
     def count_call(self, trace, now_ms):
-        """Count a call that has ended."""
+        """Record the outcome and the latencies of a call that has ended."""
         ending = trace.ending.value if trace.ending else 'error'
         key = (trace.call.route.name, ending, trace.status)
         self.endings[key] = self.endings.get(key, 0) + 1
@@ -30,14 +30,16 @@
         self.repeats += max(0, len(trace.tries) - 1)
         route = trace.call.route.name
         if trace.first_event_ms is not None:
-            record(self._of(self.first, route), trace.first_event_ms)
-        record(self._of(self.total, route), now_ms - trace.begun_ms)
+            record(
+                self._get_histogram(self.first, route), trace.first_event_ms
+            )
+        record(self._get_histogram(self.total, route), now_ms - trace.begun_ms)
 
     def render(self, gauges, store_calls=()):
-        """Return all metrics as text, a line each.
+        """Return all metrics as text, one per line.
 
-        :param gauges: further values by name.
-        :param store_calls: calls to the store by call and topic.
+        :param gauges: additional values by name.
+        :param store_calls: number of store calls by method and topic.
         """
         lines = [f'pearrun_{name} {value}' for name, value in gauges.items()]
         lines.append(f'pearrun_sends_total {self.sends}')
@@ -54,14 +56,18 @@
         lines.extend(render_histograms('answer_ms', self.total))
         return '\n'.join(lines) + '\n'
 
-    def _of(self, table, route):
+    def _get_histogram(self, table, route):
         if route not in table:
             table[route] = new_histogram()
         return table[route]
 
 
 def render_histograms(name, table):
-    """Return the lines of histograms by route."""
+    """Yield the metric lines of per-route histograms.
+
+    :param name: metric name without its prefix.
+    :param table: histograms by route.
+    """
     for route, histogram in sorted(table.items()):
         for pct in PERCENTILES:
             value = histogram.get_value_at_percentile(pct)
--- a/pearrun/shared/crashes.py
+++ b/pearrun/shared/crashdetector.py
@@ -1,12 +1,12 @@
-"""Calls that were under way at endpoints when these crashed.
-
-Load pattern: connections break because an endpoint crashes, because it spoils
-an answer and goes on, because it leaves as announced, or because the path to
-it is cut, which may look like a crash of all endpoints behind the cut.  An
-endpoint has crashed if nothing listens at its address any more and the
-platform does not hear it either: its heartbeats have ended.  While the list
-of endpoints cannot be read, only those of the host's own failure domain can
-be told from endpoints behind a cut.
+"""Detects endpoint crashes and the calls that were in flight there.
+
+Load pattern: a connection breaks because the endpoint crashes, because it
+fails a response but keeps running, because it shuts down as announced, or
+because of a network partition, which can look like a crash of all endpoints
+on the other side.  An endpoint counts as crashed if its address refuses
+connections and its heartbeats at the platform have stopped as well.  While
+the endpoint list cannot be read, heartbeats are not available, and only for
+endpoints in the host's own failure domain can a partition be excluded.
 """
 
 import collections
@@ -20,18 +20,19 @@
 from pearrun.ids import ZoneName
 from pearrun.states import EndpointState
 
-# A heartbeat that was read this long after an endpoint was found down was
-# sent after that: reads pause, and say what came meanwhile.
+# If a read started at least this long after an endpoint was found down, the
+# heartbeats it returns were sent after that time.  Reads are separated by
+# pauses, and each returns everything written since the previous one.
 READ_MARGIN_MS = 400
-# Heartbeats come this much later than they are due at the most, as a part of
-# the time between them; a read that waits for one is begun before it.
-BEAT_JITTER = 0.25
-READ_WAIT_MS = 300
-# The list of endpoints cannot be read if it is older than this.
+# Maximum delay of a heartbeat, as a fraction of the heartbeat interval.
+HEARTBEAT_JITTER = 0.25
+# A long poll that returns a heartbeat may have started this long before it.
+READ_LEAD_MS = 300
+# Older endpoint lists are taken to mean that the list cannot be read.
 LIST_STALE_MS = 2500
-# How long what an endpoint broke is kept.
-KEEP_MS = 10_000
-# Broken calls kept of one endpoint, and endpoints they are kept of.
+# How long an outage and its broken calls are kept.
+EXPIRY_MS = 10_000
+# Limits: broken calls kept per endpoint, and endpoints with kept calls.
 MAX_CALLS = 256
 MAX_ENDPOINTS = 256
 
@@ -40,10 +41,11 @@
 class BrokenCall:
     """A call whose connection to an endpoint broke.
 
-    :param ran_ms: milliseconds since it was sent there.
+    :param ran_ms: milliseconds between sending the call and the break.
     :param at_ms: monotonic time of the break.
     :param ran_well: see :func:`pearrun.decisions.evidence.runs_well`.
-    :param call_id: the attempt; one may meet several endpoints.
+    :param call_id: id of the call, shared by its attempts at several
+        endpoints.
     """
 
     fingerprint: Fingerprint
@@ -55,52 +57,54 @@
 
 @dataclasses.dataclass
 class Outage:
-    """An endpoint that broke calls or took no connection.
-
-    :param begun_ms: monotonic time of the first sign.
-    :param down_ms: when nothing listened there; ``None`` if unknown.
-    :param proven: whether it has crashed.
-    :param told: how many of the calls were reported as not proven.
+    """An endpoint that broke calls or refused connections.
+
+    :param begun_ms: monotonic time of the first failure.
+    :param down_ms: when it was found to refuse connections; ``None`` if it
+        was not.
+    :param proven: whether the crash is confirmed.
+    :param reported: how many of the calls were reported as unproven.
+    :param calls: the :class:`BrokenCall` objects.
     """
 
     zone: ZoneName
     begun_ms: int
     down_ms: int | None = None
     proven: bool = False
-    told: int = 0
+    reported: int = 0
     calls: list = dataclasses.field(default_factory=list)
 
 
-class Crashes:
-    """Finds crashes from broken connections, refused ones and heartbeats.
+class CrashDetector:
+    """Detects crashes from broken and refused connections and heartbeats.
 
-    ``take_crashes`` is called with pairs of a fingerprint and a
-    :class:`Crash`: as soon as an endpoint is found down, and once more when
-    its crash is proven.  ``take_back`` is called with the id of an endpoint
-    that has not crashed.
+    ``handle_crashes`` is a callback that gets pairs of a fingerprint and a
+    :class:`Crash`: first when an endpoint is found down, and again when its
+    crash is proven.  ``retract_crash`` is a callback that gets the id of an
+    endpoint that turned out not to have crashed.
 
     :param fleet: the :class:`Fleet`.
     :param zone: this host's failure domain.
-    :param beat_ms: time between an endpoint's heartbeats.
+    :param heartbeat_ms: interval between an endpoint's heartbeats.
     """
 
-    def __init__(self, clock, fleet, zone, beat_ms):
+    def __init__(self, clock, fleet, zone, heartbeat_ms):
         self.clock = clock
         self.fleet = fleet
         self.zone = zone
-        longest_beat_ms = int(beat_ms * (1 + BEAT_JITTER))
-        self.proof_ms = READ_MARGIN_MS + longest_beat_ms + READ_WAIT_MS
-        self.take_crashes = lambda crashes: None
-        self.take_back = lambda endpoint_id: None
+        max_interval_ms = int(heartbeat_ms * (1 + HEARTBEAT_JITTER))
+        self.proof_ms = READ_MARGIN_MS + max_interval_ms + READ_LEAD_MS
+        self.handle_crashes = lambda crashes: None
+        self.retract_crash = lambda endpoint_id: None
         self.total = 0
         self._outages = collections.OrderedDict()
 
     def note_broken(self, endpoint, broken):
-        """Note that a call's connection was closed before its answer ended.
+        """Record that a connection closed before the response was complete.
 
         :param endpoint: the :class:`Endpoint`.
         :param broken: the :class:`BrokenCall`.
-        :returns: whether it has to be found out if something listens there.
+        :returns: whether the endpoint should be probed for being down.
         """
         outage = self._find(endpoint.id)
         if outage is None:
@@ -111,16 +115,16 @@
         return outage.down_ms is None
 
     def note_down(self, endpoint_id):
-        """Note that nothing listens at an endpoint's address any more."""
+        """Record that an endpoint's address refuses connections."""
         outage = self._find(endpoint_id)
         if outage is not None and outage.down_ms is None:
             outage.down_ms = self.clock.now()
             self._report(endpoint_id, outage)
 
     def note_heard(self, endpoint_id, asked_ms):
-        """Note an endpoint's heartbeat.
+        """Record a heartbeat of an endpoint.
 
-        :param asked_ms: when the read that told it was begun.
+        :param asked_ms: start of the read that returned the heartbeat.
         """
         outage = self._outages.get(endpoint_id)
         if outage is None or outage.down_ms is None:
@@ -129,16 +133,17 @@
             self._rule_out(endpoint_id, 'heartbeat')
 
     def note_leaving(self, endpoint_id):
-        """Note that an endpoint has announced that it leaves."""
+        """Record that an endpoint has announced its shutdown."""
         outage = self._outages.get(endpoint_id)
         if outage is not None and not outage.proven:
             self._rule_out(endpoint_id, 'leaves')
 
     def note_removed(self, endpoint_id):
-        """Note that an endpoint's entry was removed.
+        """Record that an endpoint's entry was removed from the list.
 
-        One that leaves serves for some time after that; one that was down
-        before has crashed, and its entry has lapsed.
+        An endpoint that shuts down removes its entry and keeps serving for
+        some time.  If it was down before, it has crashed, and the entry
+        has expired.
         """
         outage = self._outages.get(endpoint_id)
         if outage is None or outage.proven:
@@ -149,27 +154,31 @@
             self._prove(endpoint_id, outage)
 
     def has_outages(self):
-        """Say whether an endpoint is watched."""
+        """Return whether any endpoint is suspected to have crashed."""
         return bool(self._outages)
 
-    def note_missed(self):
-        """Note that heartbeats may have been missed: proofs begin anew."""
+    def restart_proofs(self):
+        """Restart all proofs, because heartbeats may have been missed."""
         now = self.clock.now()
         for outage in self._outages.values():
             if outage.down_ms is not None:
                 outage.down_ms = now
 
     def check(self):
-        """Report the endpoints that are proven to have crashed by now."""
+        """Report crashes that are proven by now; drop expired outages."""
         now = self.clock.now()
         for endpoint_id, outage in list(self._outages.items()):
-            if now - outage.begun_ms > KEEP_MS:
+            if now - outage.begun_ms > EXPIRY_MS:
                 del self._outages[endpoint_id]
             elif not outage.proven and self._is_proven(outage, now):
                 self._prove(endpoint_id, outage)
 
     def _find(self, endpoint_id):
-        """Return the outage of an endpoint in use, begun now if need be."""
+        """Return the outage of an endpoint, creating one if necessary.
+
+        :returns: an :class:`Outage`, or ``None`` if the endpoint is unknown
+            or not live.
+        """
         known = self.fleet.endpoints.get(endpoint_id)
         if known is None or known.record.state is not EndpointState.LIVE:
             return None
@@ -196,21 +205,25 @@
 
     def _rule_out(self, endpoint_id, reason):
         outage = self._outages.pop(endpoint_id)
-        self.take_back(endpoint_id)
+        self.retract_crash(endpoint_id)
         logger.bind(
             endpoint=endpoint_id, reason=reason, calls=len(outage.calls)
         ).info('endpoint has not crashed')
 
     def _report(self, endpoint_id, outage):
-        """Report the calls of an endpoint that is down, or has crashed."""
+        """Report calls of an endpoint that is down.
+
+        Unproven calls are reported once each; with the proof, all calls
+        are reported again.
+        """
         if outage.down_ms is None:
             return
-        calls = outage.calls[outage.told :]
+        calls = outage.calls[outage.reported :]
         if outage.proven:
             calls, outage.calls = outage.calls, []
-            outage.told = 0
+            outage.reported = 0
         else:
-            outage.told = len(outage.calls)
+            outage.reported = len(outage.calls)
         if not calls:
             return
         logger.bind(
@@ -222,11 +235,11 @@
             (call.fingerprint, make_crash(endpoint_id, outage, call))
             for call in calls
         ]
-        self.take_crashes(crashes)
+        self.handle_crashes(crashes)
 
 
 def make_crash(endpoint_id, outage, call):
-    """Return the :class:`Crash` of an endpoint under a call."""
+    """Return the :class:`Crash` that a broken call shows."""
     return Crash(
         endpoint_id,
         call.at_ms,
--- a/pearrun/shared/duties.py
+++ b/pearrun/shared/duties.py
@@ -1,7 +1,7 @@
-"""The duties that one host performs for all: usage and scaling.
+"""Duties that one elected host performs for the cluster: usage and scaling.
 
-Each goes on by itself: calls that the platform answers slowly keep neither
-the lease from being renewed nor another duty from being done.
+Each duty runs in its own task, so that slow responses of the platform delay
+neither the renewal of the lease nor the other duties.
 """
 
 import asyncio
@@ -13,34 +13,37 @@
 from pearrun.decisions.lease import LeaseRecord
 from pearrun.decisions.lease import RecordKind
 from pearrun.shared.term import Term
-from pearrun.shared.usagesaving import SAVE_MS
-from pearrun.shared.usagesaving import UsageSaving
+from pearrun.shared.usagesaver import SAVE_INTERVAL_MS
+from pearrun.shared.usagesaver import UsageSaver
 
-# How often the lease and the duties are looked at.
+# Interval between checks of the lease and between runs of each duty.
 TICK_MS = 250
-# Without news of a holder for this long, a host begins to watch the log:
-# three rounds of reports.  A successor may claim seconds after it began, and
-# has to report the window that ended meanwhile in time.
-HOLDER_SILENT_MS = 700
-# Pause after counts could not be saved: the store may be away.
-SAVE_AGAIN_MS = 500
-# So much later hosts that are no hubs begin, in a fleet that has some.
-STAND_BACK_MS = 2000
-# A watcher reads the log at most this often.
-WATCH_MS = 900
-# Time after a window's end at which all hosts' reports of it are in.
+# If the lease holder is not heard of for this long, which is three rounds of
+# reports, a host starts to monitor the lease log.  A successor can claim the
+# lease only seconds after that, and it must still report in time the usage
+# window that ended meanwhile.
+HOLDER_TIMEOUT_MS = 700
+# Pause after saving usage counts failed: the store may be unavailable.
+SAVE_RETRY_MS = 500
+# Additional delay before hosts that are not hubs start to monitor the log, in
+# a fleet that has hubs.
+NON_HUB_DELAY_MS = 2000
+# Minimum interval between reads of the log while monitoring it.
+MONITOR_INTERVAL_MS = 900
+# Time after the end of a window by which all hosts' counts have arrived.
 SETTLE_MS = 1500
-# How long after its due time a report is still tried.
-LATE_MS = 4000
+# How long after its due time a report is still retried.
+LATE_REPORT_MS = 4000
 
 
 class Duties:
-    """Holds the lease when it can, and performs the duties.
+    """Competes for the lease and performs the duties while holding it.
 
     :param host: shared objects of this host.
     :param lease_log: the :class:`LeaseLog`.
     :param calls: the :class:`DutyClient`.
-    :param reports: the :class:`ReportBoard`, for news of the holder.
+    :param reports: the :class:`ReportBoard`, which knows when the holder
+        was last heard of.
     :param scaler: the :class:`Scaler`, or ``None``.
     :param usage_log: the :class:`UsageLog`.
     """
@@ -48,7 +51,7 @@
     def __init__(self, host, lease_log, calls, reports, scaler, usage_log):
         self.host = host
         self.log = lease_log
-        self.saving = UsageSaving(host.board, usage_log)
+        self.usage_saver = UsageSaver(host.board, usage_log)
         self.view = lease_log.view
         self.clock = host.clock
         self.calls = calls
@@ -56,22 +59,23 @@
         self.scaler = scaler
         self.started_ms = self.clock.now()
         self.delivered = set()
-        self.read_ms = None
-        self.held = False
+        self.last_read_ms = None
+        self.was_holder = False
         self.term = None
 
     async def run(self):
-        """Look at the lease and the duties for the process's whole life."""
+        """Run the lease task and the duties until the process ends."""
         async with asyncio.TaskGroup() as tasks:
-            tasks.create_task(self._repeat(self._tick, TICK_MS))
-            tasks.create_task(self._repeat(self._save_usage, SAVE_MS))
+            tasks.create_task(self._repeat(self._maintain_lease, TICK_MS))
+            tasks.create_task(self._repeat(self._save_usage, SAVE_INTERVAL_MS))
             tasks.create_task(self._repeat(self._report_usage, TICK_MS))
             tasks.create_task(self._repeat(self._scale, TICK_MS))
 
     async def _repeat(self, step, pause_ms):
-        """Do a step again and again.
+        """Call a step repeatedly.
 
-        What the lease's log said before an error may be out of date.
+        After an error the lease log is read again, since the local view of
+        it may be out of date.
         """
         while True:
             try:
@@ -84,62 +88,66 @@
             await asyncio.sleep(to_seconds(pause_ms))
 
     def holds(self):
-        """Say whether this host may act now."""
+        """Return whether this host holds the lease and may act."""
         return self.left_ms() > 0
 
     def left_ms(self):
-        """Return how long the lease still holds; 0 without it."""
+        """Return the remaining milliseconds of the lease; 0 without it."""
         return Term(self.view, self.clock).left_ms()
 
-    async def _tick(self):
+    async def _maintain_lease(self):
         if self.host.stopping or self.host.config.current is None:
             return
         if self.scaler is not None:
-            self.scaler.watch()
+            self.scaler.update_needs()
         now = self.clock.boot()
         if self.view.holder == self.view.run and self.view.valid_until_ms:
             if self.view.should_renew(now):
                 await self.log.write(
                     self._record(RecordKind.RENEW, self.view.agreed_until)
                 )
-            self._note_held()
+            self._log_lease_change()
             return
-        self._note_held()
-        await self._watch()
+        self._log_lease_change()
+        await self._monitor()
 
-    async def _watch(self):
-        """Claim the lease once nobody else can hold it."""
+    async def _monitor(self):
+        """Claim the lease once no other host can hold it."""
         notice = self.reports.last_notice()
         if notice is not None:
             self.view.note_told(notice.log_end, self.clock.boot())
         now = self.clock.now()
-        if now < self._watch_from_ms():
+        if now < self._monitor_from_ms():
             self.view.still_since_ms = None
             return
         if not self._is_read_due(now):
             return
-        self.read_ms = now
+        self.last_read_ms = now
         await self.log.read()
         if self.view.may_claim(self.clock.boot()):
             await self.log.write(self._record(RecordKind.CLAIM))
-            self._note_held()
+            self._log_lease_change()
 
-    def _watch_from_ms(self):
-        """Return when to begin to watch the log, without further news.
+    def _monitor_from_ms(self):
+        """Return when to start monitoring the log if no holder is heard.
 
-        In a large fleet the hubs come first: if all hosts read the log of a
-        lost holder, each read costs, and one of them succeeds it.
+        In a large fleet the hubs start first.  If all hosts read the log
+        after the holder is lost, each read costs, although only one host
+        takes over.
         """
         heard_ms = self.reports.heard_duty_ms()
-        stands_back = self.host.feed.through_hubs and not self.reports.is_hub
-        if not stands_back:
-            return 0 if heard_ms is None else heard_ms + HOLDER_SILENT_MS
+        is_delayed = self.host.feed.through_hubs and not self.reports.is_hub
+        if not is_delayed:
+            return 0 if heard_ms is None else heard_ms + HOLDER_TIMEOUT_MS
         since_ms = self.started_ms if heard_ms is None else heard_ms
-        return since_ms + HOLDER_SILENT_MS + STAND_BACK_MS
+        return since_ms + HOLDER_TIMEOUT_MS + NON_HUB_DELAY_MS
 
     def _is_read_due(self, now):
-        """Say whether the log is to be read: first, and before a claim."""
-        if self.read_ms is not None and now - self.read_ms < WATCH_MS:
+        """Return whether to read the log: initially, and before a claim."""
+        if (
+            self.last_read_ms is not None
+            and now - self.last_read_ms < MONITOR_INTERVAL_MS
+        ):
             return False
         if self.view.still_since_ms is None:
             return True
@@ -154,16 +162,16 @@
     def _record(self, kind, window=0, counts=None):
         return LeaseRecord(kind, self.view.run, window, counts)
 
-    def _note_held(self):
+    def _log_lease_change(self):
         holds = self.holds()
-        if holds != self.held:
-            self.held = holds
+        if holds != self.was_holder:
+            self.was_holder = holds
             logger.bind(fencing=self.view.fencing, log_end=self.view.end).info(
                 'lease taken' if holds else 'lease lost'
             )
 
     def _find_term(self):
-        """Return the :class:`Term` of this host; ``None`` without one."""
+        """Return the current :class:`Term`; ``None`` without the lease."""
         if self.host.stopping or not self.holds():
             return None
         if self.term is None or self.term.fencing != self.view.fencing:
@@ -175,19 +183,20 @@
         if term is None:
             return
         try:
-            await self.saving.take_up(term)
-            await self.saving.save(self.view.agreed_until + 1)
+            await self.usage_saver.restore(term)
+            await self.usage_saver.save(self.view.agreed_until + 1)
         except exceptions.PearrunError as exc:
             logger.bind(code=exc.code).info(f'usage not saved: {exc.message}')
-            await asyncio.sleep(to_seconds(SAVE_AGAIN_MS))
+            await asyncio.sleep(to_seconds(SAVE_RETRY_MS))
 
     async def _report_usage(self):
         term = self._find_term()
         if term is None:
             return
-        if self.saving.term is term:
-            # Else counts that a former holder saved would be left out.
-            await self._agree_usage()
+        if self.usage_saver.term is term:
+            # Not before the counts that a former holder saved are restored:
+            # the report would lack them.
+            await self._commit_usage()
         await self._deliver_usage(term)
 
     async def _scale(self):
@@ -195,18 +204,20 @@
         if term is not None and self.scaler is not None:
             await self.scaler.act(term)
 
-    async def _agree_usage(self):
-        """Fix the counts of windows that have ended, in the log.
+    async def _commit_usage(self):
+        """Write the final counts of ended windows to the lease log.
 
-        A successor finds them there and repeats exactly the same.
+        A successor reads them there and reports exactly the same counts.
         """
         settings = self.host.settings.usage
         wall = self.host.time.wall()
         last = (wall - SETTLE_MS) // settings.window_ms - 1
         board = self.host.board
-        oldest = last - (settings.due_ms + LATE_MS) // settings.window_ms
+        oldest = (
+            last - (settings.due_ms + LATE_REPORT_MS) // settings.window_ms
+        )
         for window in range(oldest, last + 1):
-            if self._may_be_agreed(window) or not self._covers(window):
+            if self._may_be_committed(window) or not self._has_counts(window):
                 continue
             counts = board.total(window)
             for name in self.host.config.current.customers:
@@ -215,10 +226,10 @@
                 self._record(RecordKind.USAGE, window, counts)
             )
 
-    def _may_be_agreed(self, window):
-        """Say whether a holder agreed on a window, or may have.
+    def _may_be_committed(self, window):
+        """Return whether some holder committed a window, or may have.
 
-        A second report with other counts is worse than none.
+        A second report with different counts is worse than no report.
         """
         view = self.view
         if window <= view.agreed_until:
@@ -231,8 +242,8 @@
         end_ms = (window + 1) * self.host.settings.usage.window_ms
         return end_ms <= lost_wall_ms
 
-    def _covers(self, window):
-        """Say whether calls of a window can have been counted."""
+    def _has_counts(self, window):
+        """Return whether the known counts reach back to a window."""
         windows = self.host.board.windows
         return bool(windows) and window >= min(windows)
 
@@ -241,7 +252,7 @@
         wall = self.host.time.wall()
         for window, counts in sorted(self.view.reported.items()):
             end_ms = (window + 1) * settings.window_ms
-            if wall > end_ms + settings.due_ms + LATE_MS:
+            if wall > end_ms + settings.due_ms + LATE_REPORT_MS:
                 self.delivered.discard(window)
                 continue
             if window in self.delivered or not term.holds():
@@ -251,7 +262,7 @@
             except exceptions.DutyCallError as exc:
                 logger.bind(
                     code=exc.code, window=window, fencing=term.fencing
-                ).warning(f'usage report not taken: {exc.message}')
+                ).warning(f'usage report failed: {exc.message}')
                 return
             self.delivered.add(window)
             logger.bind(
--- a/pearrun/shared/host.py
+++ b/pearrun/shared/host.py
@@ -2,11 +2,11 @@
 
 from loguru import logger
 
+from pearrun.shared.activeconfig import ActiveConfig
 from pearrun.shared.clocksync import CorrectedClock
-from pearrun.shared.confighistory import ConfigHistory
 from pearrun.shared.counters import Counters
-from pearrun.shared.crashcheck import CrashCheck
-from pearrun.shared.crashes import Crashes
+from pearrun.shared.crashdetector import CrashDetector
+from pearrun.shared.crashprobe import CrashProbe
 from pearrun.shared.demands import Demands
 from pearrun.shared.engines import Engines
 from pearrun.shared.feed import Feed
@@ -19,7 +19,7 @@
 from pearrun.shared.quotas import Quotas
 from pearrun.shared.selection import Selection
 from pearrun.shared.usage import UsageCounts
-from pearrun.shared.usageboard import UsageBoard
+from pearrun.shared.usagetable import UsageTable
 
 
 class HostContext:
@@ -35,12 +35,12 @@
         self.clock = clock
         self.stopping = False
         self.counters = Counters()
-        self.config = ConfigHistory(clock)
+        self.config = ActiveConfig(clock)
         self.fleet = Fleet()
-        self.crashes = Crashes(
+        self.crashes = CrashDetector(
             clock, self.fleet, settings.zone, settings.beat_ms
         )
-        self.crash_check = CrashCheck(self.crashes)
+        self.crash_check = CrashProbe(self.crashes)
         self.feed = Feed(clock)
         self.member_feed = Feed(clock, MEMBER_TOPIC)
         self.feeds = {
@@ -61,14 +61,14 @@
             self.feed,
         )
         self.quarantine = Quarantine(clock)
-        self.crashes.take_crashes = self.quarantine.take_crashes
-        self.crashes.take_back = self.quarantine.take_back
+        self.crashes.handle_crashes = self.quarantine.handle_crashes
+        self.crashes.retract_crash = self.quarantine.retract_crash
         self.quotas = Quotas(
             clock, self.config, settings.quota, self.members, self.feed
         )
         self.time = CorrectedClock(clock)
         self.usage = UsageCounts(self.time.wall, settings.usage.window_ms)
-        self.board = UsageBoard()
+        self.board = UsageTable()
         self.forget_host = lambda name: None
 
     def count_hosts(self):
--- a/pearrun/shared/ownshare.py
+++ b/pearrun/shared/ownshare.py
@@ -12,8 +12,8 @@
 
 from pearrun.decisions.demand import Demand
 from pearrun.shared.loads import Load
-from pearrun.shared.quotas import Admitted
-from pearrun.shared.quotas import NOTHING
+from pearrun.shared.quotas import AdmittedUnits
+from pearrun.shared.quotas import NO_UNITS
 
 # Own reports kept for sums that cover an older one: several times the
 # rounds that a report is on its way to a hub and back.
@@ -83,9 +83,9 @@
 
 def subtract_admitted(use, name, first, last):
     """Subtract what was admitted between two own reports."""
-    before = first.admitted.get(name, NOTHING)
-    own = last.admitted.get(name, NOTHING)
-    return Admitted(
+    before = first.admitted.get(name, NO_UNITS)
+    own = last.admitted.get(name, NO_UNITS)
+    return AdmittedUnits(
         use.total - (own.total - before.total), max(0.0, use.rate - own.rate)
     )
 
--- a/pearrun/shared/quarantine.py
+++ b/pearrun/shared/quarantine.py
@@ -1,8 +1,8 @@
-"""Requests that this host keeps from endpoints because they crash them.
+"""Quarantine of requests that crash the endpoints they are sent to.
 
-See :mod:`pearrun.decisions.quarantine` for how they are found.  Hosts tell
-each other what they know of such requests, and those that saw the crashes
-save it on the store, so that it outlasts the loss of all hosts.
+See :mod:`pearrun.decisions.quarantine` for how such requests are identified.
+Hosts exchange what they know of them, and the hosts that observed the crashes
+save it in the store, so that it survives the loss of all hosts.
 """
 
 import collections
@@ -12,30 +12,31 @@
 
 from pearrun.decisions.evidence import select_worst
 from pearrun.decisions.quarantine import Suspects
-from pearrun.shared.crashes import READ_MARGIN_MS
+from pearrun.shared.crashdetector import READ_MARGIN_MS
 
-# Answered requests remembered, and suspects told to other hosts.
+# Maximum number of answered requests kept, and of suspects in one message.
 MAX_ANSWERED = 4096
-MAX_TOLD = 64
-# How often all is told again to hosts that have been told before.
-REPEAT_MS = 5000
-# A request is saved this long after its quarantine began: until then other
-# hosts' crashes may show that another request is behind it.
-SETTLE_MS = 300
+MAX_SENT = 64
+# Interval at which known suspects are sent again, also to hosts that have
+# received them before.
+FULL_UPDATE_MS = 5000
+# Delay between the start of a quarantine and saving it: until then, crashes
+# reported by other hosts may show that a different request is the cause.
+SAVE_DELAY_MS = 300
 
 
 @dataclasses.dataclass(frozen=True)
-class Begun:
-    """When a request's quarantine began here, and whether it is proven."""
+class QuarantineStart:
+    """When a quarantine started on this host, and whether it is proven."""
 
     at_ms: int
     proven: bool
 
 
 class Quarantine:
-    """Takes crashes and answers, and says which calls to refuse.
+    """Collects crashes and answers, and decides which calls to refuse.
 
-    A call is whatever has a ``fingerprint``.
+    A call may be any object with a ``fingerprint`` attribute.
     """
 
     def __init__(self, clock):
@@ -44,16 +45,19 @@
         self.refused = 0
         self.tell_others = lambda: None
         self._answered = collections.OrderedDict()
-        self._own = set()
-        self._news = set()
-        self._told_ms = clock.now()
-        self._begun = {}
+        self._local = set()
+        self._pending = set()
+        self._full_update_ms = clock.now()
+        self._started = {}
         self._saved_ms = {}
 
     def left_ms(self, call):
-        """Return for how long a call is quarantined; 0 if it is not.
+        """Return the remaining quarantine of a call; 0 if there is none.
 
-        While nothing is quarantined, the call is not looked at.
+        While nothing is quarantined, the fingerprint of the call is not
+        accessed.
+
+        :returns: milliseconds.
         """
         if not self.known.quarantined:
             return 0
@@ -61,7 +65,7 @@
         return max(0, until_ms - self.clock.now())
 
     def note_answered(self, call):
-        """Note that an endpoint answered a call and went on."""
+        """Record that an endpoint answered a call and did not crash."""
         fingerprint = call.fingerprint
         now = self.clock.now()
         self._answered[fingerprint] = now
@@ -69,95 +73,103 @@
         if len(self._answered) > MAX_ANSWERED:
             self._answered.popitem(last=False)
         if self.known.note_answered(fingerprint, now):
-            self._news.add(fingerprint)
-            self._judge('answer')
+            self._pending.add(fingerprint)
+            self._update_quarantine('answer')
 
-    def take_crashes(self, crashes):
-        """Take crashes under this host's calls.
+    def handle_crashes(self, crashes):
+        """Add crashes that occurred under this host's own calls.
 
         :param crashes: pairs of a fingerprint and a :class:`Crash`.
         """
         for fingerprint, crash in crashes:
             if self._note_crash(fingerprint, crash):
-                self._own.add(fingerprint)
-                self._news.add(fingerprint)
-        self._judge('own calls')
-        if self._news:
+                self._local.add(fingerprint)
+                self._pending.add(fingerprint)
+        self._update_quarantine('own calls')
+        if self._pending:
             self.tell_others()
 
     def note_heard(self, endpoint_id, asked_ms):
-        """Note an endpoint's heartbeat; see :meth:`Crashes.note_heard`."""
+        """Record a heartbeat of an endpoint.
+
+        See :meth:`CrashDetector.note_heard`.
+        """
         crashed_ms = self.known.find_crash_ms(endpoint_id)
         if crashed_ms is not None and asked_ms >= crashed_ms + READ_MARGIN_MS:
-            self.take_back(endpoint_id)
+            self.retract_crash(endpoint_id)
 
-    def take_back(self, endpoint_id):
-        """Take back an endpoint's crash: it is still there, or has left."""
+    def retract_crash(self, endpoint_id):
+        """Discard the crash of an endpoint that is running or has left."""
         self.known.rule_out(endpoint_id, self.clock.now())
-        self._judge('endpoint not crashed')
+        self._update_quarantine('endpoint not crashed')
 
-    def merge(self, suspects, source, pass_on):
-        """Take what is known elsewhere.
+    def merge(self, suspects, source, forward):
+        """Merge suspects that were received from elsewhere.
 
-        :param suspects: :class:`Suspect` objects, their times by this
-            host's clock.
-        :param source: who says so, for the log.
-        :param pass_on: whether to tell other hosts what is news.
+        :param suspects: :class:`Suspect` objects with times by this host's
+            clock.
+        :param source: where they came from, for the log.
+        :param forward: whether to send what is new to other hosts.
         """
-        news = {
-            suspect.fingerprint for suspect in suspects if self._take(suspect)
+        changed = {
+            suspect.fingerprint
+            for suspect in suspects
+            if self._merge_suspect(suspect)
         }
-        if not news:
+        if not changed:
             return
-        if pass_on:
-            self._news |= news
-        self._judge(source)
+        if forward:
+            self._pending |= changed
+        self._update_quarantine(source)
 
-    def take_told(self):
-        """Return the suspects to be told to other hosts now.
+    def collect_updates(self):
+        """Return the suspects to send to the connected hosts now.
 
-        :returns: :class:`Suspect` objects: those with news, and now and
-            then all that are worth it.
+        :returns: :class:`Suspect` objects: those that have changed since
+            the last call, and periodically the most relevant of all.
         """
         if not self.known.suspects:
             return []
         now = self.clock.now()
-        if now - self._told_ms >= REPEAT_MS:
-            self._told_ms = now
-            self._news.clear()
-            self._judge('time')
-            return self.list_known()
+        if now - self._full_update_ms >= FULL_UPDATE_MS:
+            self._full_update_ms = now
+            self._pending.clear()
+            self._update_quarantine('time')
+            return self.take_snapshot()
         suspects = self.known.suspects
-        told = [suspects[key] for key in self._news if key in suspects]
-        self._news.clear()
-        return select_worst(told, MAX_TOLD)
+        changed = [suspects[key] for key in self._pending if key in suspects]
+        self._pending.clear()
+        return select_worst(changed, MAX_SENT)
 
-    def list_known(self):
-        """Return what another host should know that was told nothing yet.
+    def take_snapshot(self):
+        """Return the suspects to send to a newly connected host.
 
         :returns: :class:`Suspect` objects.
         """
-        return select_worst(self.known.suspects.values(), MAX_TOLD)
+        return select_worst(self.known.suspects.values(), MAX_SENT)
 
     def list_unsaved(self):
-        """Return the suspects that this host has to save on the store."""
+        """Return the suspects that this host has yet to save."""
         now = self.clock.now()
         return [
             self.known.suspects[fingerprint]
-            for fingerprint, begun in self._begun.items()
-            if fingerprint in self._own
-            and begun.proven
-            and now - begun.at_ms >= SETTLE_MS
-            and self._saved_ms.get(fingerprint, -1) < begun.at_ms
+            for fingerprint, start in self._started.items()
+            if fingerprint in self._local
+            and start.proven
+            and now - start.at_ms >= SAVE_DELAY_MS
+            and self._saved_ms.get(fingerprint, -1) < start.at_ms
         ]
 
     def note_saved(self, suspects):
-        """Note that suspects are on the store."""
+        """Record that suspects were saved in the store."""
         for suspect in suspects:
             self._saved_ms[suspect.fingerprint] = self.clock.now()
 
-    def _take(self, suspect):
-        """Merge one suspect; say whether something was news."""
+    def _merge_suspect(self, suspect):
+        """Merge one suspect.
+
+        :returns: whether anything in it was new.
+        """
         fingerprint = suspect.fingerprint
         news = [
             self._note_crash(fingerprint, crash)
@@ -170,34 +182,40 @@
         return any(news)
 
     def _note_crash(self, fingerprint, crash):
-        """Note a crash; an answer that this host remembers comes with it."""
+        """Add a crash, and the last answer if this host remembers one.
+
+        :returns: whether either was new.
+        """
         news = self.known.note_crash(fingerprint, crash)
         answered_ms = self._answered.get(fingerprint)
         if answered_ms is not None:
             news |= self.known.note_answered(fingerprint, answered_ms)
         return news
 
-    def _judge(self, source):
-        """Find out what is quarantined now; log what has changed."""
+    def _update_quarantine(self, source):
+        """Recompute which requests are quarantined and log the changes.
+
+        :param source: what led to the update, for the log.
+        """
         now = self.clock.now()
         self.known.judge(now)
         quarantined = self.known.quarantined
-        for fingerprint in set(self._begun) - set(quarantined):
-            del self._begun[fingerprint]
+        for fingerprint in set(self._started) - set(quarantined):
+            del self._started[fingerprint]
             logger.bind(fingerprint=fingerprint, source=source).info(
                 'quarantine ended'
             )
         for fingerprint in quarantined:
             proven = self.known.is_proven(fingerprint)
-            begun = self._begun.get(fingerprint)
-            if begun is None or begun.proven < proven:
-                self._begun[fingerprint] = Begun(now, proven)
-                self._log_begin(fingerprint, proven, source)
-        self._own.intersection_update(self.known.suspects)
+            start = self._started.get(fingerprint)
+            if start is None or start.proven < proven:
+                self._started[fingerprint] = QuarantineStart(now, proven)
+                self._log_start(fingerprint, proven, source)
+        self._local.intersection_update(self.known.suspects)
         for fingerprint in set(self._saved_ms) - set(self.known.suspects):
             del self._saved_ms[fingerprint]
 
-    def _log_begin(self, fingerprint, proven, source):
+    def _log_start(self, fingerprint, proven, source):
         now = self.clock.now()
         crashes = self.known.suspects[fingerprint].crashes.values()
         logger.bind(
--- a/pearrun/shared/quotas.py
+++ b/pearrun/shared/quotas.py
@@ -1,4 +1,4 @@
-"""Customers' quotas as this host enforces them."""
+"""Enforcement of customers' quotas on this host."""
 
 import dataclasses
 
@@ -6,27 +6,27 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Admitted:
+class AdmittedUnits:
     """Units that a host admitted for one customer.
 
-    :param total: since the host's start.
-    :param rate: a second, lately.
+    :param total: units since the host's start.
+    :param rate: recent average, in units per second.
     """
 
     total: float
     rate: float
 
 
-NOTHING = Admitted(0.0, 0.0)
+NO_UNITS = AdmittedUnits(0.0, 0.0)
 
 
 class Quotas:
-    """Admits calls within each customer's quota.
+    """Admits calls within their customers' quotas.
 
-    :param config: the :class:`ConfigHistory`.
+    :param config: the :class:`ActiveConfig`.
     :param settings: the :class:`QuotaSettings`.
     :param members: the :class:`Members`.
-    :param feed: the :class:`Feed`; says whether the hosts use hubs.
+    :param feed: the :class:`Feed`, which knows whether the hosts use hubs.
     """
 
     def __init__(self, clock, config, settings, members, feed):
@@ -39,14 +39,17 @@
         self.buckets = {}
         self.totals = {}
         self.rates = {}
-        self._settled = False
-        self._heard = set()
-        self._ended = {}
+        self._has_full_share = False
+        self._reported_runs = set()
+        self._ended_units = {}
         self._averaged_totals = {}
         self._averaged_ms = clock.now()
 
     def admit(self, call):
-        """Say whether a call is within its customer's quota; count it."""
+        """Charge a call to its customer's quota.
+
+        :returns: whether the call is admitted.
+        """
         if call.customer is None:
             return True
         name = call.customer.name
@@ -54,72 +57,81 @@
         if customer is None or customer.rate_per_s <= 0:
             return True
         now = self.clock.now()
-        share = self._start_share(now)
-        bucket = self._refilled(customer, now, share)
-        settled = share >= 1.0
-        if not bucket.take(call.units, customer.burst, self._lag_s(), settled):
+        share = self._compute_share(now)
+        bucket = self._refill_bucket(customer, now, share)
+        has_full_share = share >= 1.0
+        if not bucket.take(
+            call.units, customer.burst, self._get_lag_s(), has_full_share
+        ):
             return False
         self.totals[name] = self.totals.get(name, 0.0) + call.units
         return True
 
-    def wait_ms(self, call):
-        """Return when a call that was refused may pass."""
+    def get_wait_ms(self, call):
+        """Return the time until a refused call could be admitted.
+
+        :returns: milliseconds.
+        """
         customer = self.config.current.customers.get(call.customer.name)
         if customer is None or not customer.rate_per_s:
             return 0
         now = self.clock.now()
-        bucket = self._refilled(customer, now, self._start_share(now))
-        missing = bucket.missing(customer.burst, self._lag_s())
+        bucket = self._refill_bucket(customer, now, self._compute_share(now))
+        missing = bucket.missing(customer.burst, self._get_lag_s())
         return max(0.0, missing) * 1000.0 / customer.rate_per_s
 
-    def level(self, call):
-        """Return the units left to a call's customer, for its log line."""
+    def get_level(self, call):
+        """Return the units left in a customer's bucket, for logging.
+
+        :returns: ``None`` if the call has no customer or no bucket.
+        """
         if call.customer is None:
             return None
         bucket = self.buckets.get(call.customer.name)
         return None if bucket is None else round(bucket.level)
 
     def put_report(self, run, admitted):
-        """Take what another host admitted.
+        """Apply another host's report of admitted units.
 
         :param run: the :class:`Run` that reports.
-        :param admitted: :class:`Admitted` by customer.
+        :param admitted: :class:`AdmittedUnits` by customer.
         """
         if self.config.current is None:
             return
         now = self.clock.now()
-        share = self._start_share(now)
-        heard = run in self._heard
-        self._heard.add(run)
+        share = self._compute_share(now)
+        heard = run in self._reported_runs
+        self._reported_runs.add(run)
         for name, use in admitted.items():
             customer = self.config.current.customers.get(name)
             if customer is not None and customer.rate_per_s > 0:
-                bucket = self._refilled(customer, now, share)
+                bucket = self._refill_bucket(customer, now, share)
                 bucket.take_report(run, use.total, use.rate, now, heard)
 
     def remove(self, run):
-        """Forget a run that has ended."""
-        self._heard.discard(run)
+        """Remove a run that has ended, keeping its units in zone totals."""
+        self._reported_runs.discard(run)
         for name, bucket in self.buckets.items():
             units = bucket.forget(run)
             if not run.whole_zone:
-                ended = self._ended.setdefault(run.zone, {})
+                ended = self._ended_units.setdefault(run.zone, {})
                 ended[name] = ended.get(name, 0.0) + units
 
     def sum_zone(self, zone, own):
-        """Return what a zone's hosts admitted, as far as is known here.
+        """Return what the hosts of a zone admitted, as known on this host.
 
-        Hosts that are not heard are taken to go on, as they are here.
+        Hosts that send no reports are assumed to admit units at their last
+        rate, as they are in this host's own buckets.
 
-        :param own: this host's own :class:`Admitted` by customer.
-        :returns: :class:`Admitted` by customer; what was admitted before
-            this host heard of it is left out, so that a total grows
-            steadily, and only its changes say something.
+        :param own: this host's own :class:`AdmittedUnits` by customer.
+        :returns: :class:`AdmittedUnits` by customer.  Units admitted before
+            the first report of a run are left out, so that a total never
+            jumps; only the differences between totals are meaningful.
         """
         sums = {}
-        ended = self._ended.get(zone, {})
+        ended = self._ended_units.get(zone, {})
         for name in {*own, *self.buckets}:
-            known = own.get(name, NOTHING)
+            known = own.get(name, NO_UNITS)
             total = known.total + ended.get(name, 0.0)
             rate = known.rate
             bucket = self.buckets.get(name)
@@ -127,11 +139,14 @@
                 if run.zone == zone and not run.whole_zone:
                     total += use.used
                     rate += use.rate
-            sums[name] = Admitted(total, rate)
+            sums[name] = AdmittedUnits(total, rate)
         return sums
 
-    def report(self):
-        """Return what this host admitted: :class:`Admitted` by customer."""
+    def collect_totals(self):
+        """Update the rates and return what this host admitted.
+
+        :returns: :class:`AdmittedUnits` by customer.
+        """
         now = self.clock.now()
         elapsed_ms = max(1, now - self._averaged_ms)
         self._averaged_ms = now
@@ -141,35 +156,36 @@
             average.add(total - before, elapsed_ms / 1000.0)
         self._averaged_totals = dict(self.totals)
         return {
-            name: Admitted(total, self.rates[name].rate)
+            name: AdmittedUnits(total, self.rates[name].rate)
             for name, total in self.totals.items()
         }
 
-    def _lag_s(self):
-        """Return the age of the others' reports as they are used."""
+    def _get_lag_s(self):
+        """Return the age in seconds that other hosts' reports have here."""
         return quota.HUB_LAG_S if self.feed.through_hubs else quota.MESH_LAG_S
 
-    def _start_share(self, now):
-        """Return the part of each limit that this host may use.
+    def _compute_share(self, now):
+        """Return the fraction of each limit that this host may use.
 
-        The other hosts are counted only while that part depends on them: a
-        host that has heard them all knows what they use from then on, also
-        while it hears them through other hubs.
+        It is below 1 only for some time after the start.  Once a host has
+        received reports from all other hosts it keeps the full share and
+        the hosts are no longer counted, even if their reports later arrive
+        through different hubs.
         """
         age_ms = now - self.started_ms
-        if self._settled or age_ms > quota.START_MS:
+        if self._has_full_share or age_ms > quota.START_MS:
             return 1.0
         members = self.members
         share = quota.start_share(
             members.count_heard(), members.count() - 1, members.listed, age_ms
         )
-        self._settled = members.listed and share >= 1.0
+        self._has_full_share = members.listed and share >= 1.0
         return share
 
-    def _refilled(self, customer, now, share):
-        """Return a customer's bucket, filled up to now.
+    def _refill_bucket(self, customer, now, share):
+        """Return a customer's bucket, refilled up to now.
 
-        :param share: the part of each limit that this host may use.
+        :param share: the fraction of each limit that this host may use.
         """
         bucket = self.buckets.get(customer.name)
         if bucket is None:
--- a/pearrun/shared/reportboard.py
+++ b/pearrun/shared/reportboard.py
@@ -248,7 +248,7 @@
         self.host.quarantine.merge(
             [suspect.to_times(now) for suspect in suspects],
             name,
-            pass_on=self.host.feed.through_hubs,
+            forward=self.host.feed.through_hubs,
         )
 
     def _take_config(self, name, raw):
--- a/pearrun/shared/reporter.py
+++ b/pearrun/shared/reporter.py
@@ -181,7 +181,7 @@
     def _make(self):
         host = self.host
         self.number += 1
-        admitted = host.quotas.report()
+        admitted = host.quotas.collect_totals()
         placed = host.selection.take_placed()
         own = self._report(
             self.run_id,
@@ -202,7 +202,7 @@
         zone_reports, sums = self.board.take_fresh()
         ended = self.board.take_ended()
         zone_placed = self.board.take_zone_placed()
-        told = host.quarantine.take_told()
+        told = host.quarantine.collect_updates()
         suspects = self._encode_suspects(told)
         if self.plan is None or not self.plan.is_hub:
             return Round(reports.encode(own), usage, feeds, suspects)
@@ -236,7 +236,7 @@
 
     def encode_known(self):
         """Return what a host is told first: encoded messages."""
-        return self._encode_suspects(self.host.quarantine.list_known())
+        return self._encode_suspects(self.host.quarantine.take_snapshot())
 
     def _encode_suspects(self, suspects):
         """Return a note of requests under which endpoints crashed, if any."""
--- a/pearrun/shared/reports.py
+++ b/pearrun/shared/reports.py
@@ -20,7 +20,7 @@
 from pearrun.shared import suspects as suspect_codec
 from pearrun.shared.loads import Load
 from pearrun.shared.prompts import Placed
-from pearrun.shared.quotas import Admitted
+from pearrun.shared.quotas import AdmittedUnits
 from pearrun.shared.run import Run
 
 ENDPOINT_TOPIC = 'servers'
@@ -61,7 +61,7 @@
     :param loads: :class:`Load` by endpoint id.
     :param demands: :class:`Demand` by service.
     :param engines: :class:`LineSums` by service.
-    :param admitted: :class:`Admitted` by customer.
+    :param admitted: :class:`AdmittedUnits` by customer.
     :param placed: prompts sent lately.
     """
 
@@ -72,7 +72,7 @@
     config_version: int
     config_age_ms: int
     loads: dict[EndpointId, Load]
-    admitted: dict[str, Admitted]
+    admitted: dict[str, AdmittedUnits]
     placed: tuple[Placed, ...] = ()
     duty: DutyNotice | None = None
     demands: dict[ServiceName, Demand] = dataclasses.field(
@@ -359,7 +359,7 @@
             endpoint_id: Load(calls, tokens)
             for endpoint_id, (calls, tokens) in loads.items()
         },
-        admitted={name: Admitted(*use) for name, use in admitted.items()},
+        admitted={name: AdmittedUnits(*use) for name, use in admitted.items()},
         placed=tuple(
             Placed(endpoint_id, tuple(part_ids))
             for endpoint_id, part_ids in placed
--- a/pearrun/shared/scaler.py
+++ b/pearrun/shared/scaler.py
@@ -1,4 +1,4 @@
-"""Orders endpoints as the load needs them; acts for the lease's holder."""
+"""Autoscaling: orders endpoints for the load while holding the lease."""
 
 import asyncio
 
@@ -8,17 +8,17 @@
 from pearrun.decisions import scaling
 from pearrun.states import EndpointState
 
-# How often the plan is made anew.
-PLAN_MS = 1000
-# An order that is not in force is repeated after this long: endpoints
-# boot in some seconds.
-REPEAT_MS = 8000
-# An order that the platform refused is repeated after this long.
-REFUSED_MS = 3000
+# Interval between plans.
+PLAN_INTERVAL_MS = 1000
+# An unchanged order is sent again after this time, in case it has not taken
+# effect; endpoints take several seconds to boot.
+ORDER_REPEAT_MS = 8000
+# An order that the platform refused is repeated after this time.
+REFUSED_RETRY_MS = 3000
 
 
 class Scaler:
-    """Plans and sends orders.
+    """Plans the number of endpoints per zone and sends orders for them.
 
     :param host: shared objects of this host.
     :param calls: the :class:`DutyClient`.
@@ -30,75 +30,83 @@
         self.calls = calls
         self.settings = scaling.ScalingSettings()
         self.ordered = {}
-        self.needs = {}
+        self.need_history = {}
         self.last_need = {}
-        self.lower_since_ms = {}
+        self.release_since_ms = {}
         self.planned_ms = None
-        self.watched_ms = None
-        self.slots = {}
+        self.updated_ms = None
+        self.known_slots = {}
 
-    def watch(self):
-        """Note what the demand needs now, also where another host orders.
+    def update_needs(self):
+        """Record how many endpoints the demand needs now.
 
-        A host that takes the duties over goes on from the needs of the last
-        time; one that knows none keeps as many as the customers' limits allow
-        for.
+        Hosts that do not hold the lease do this too, so that a host that
+        takes over continues from the recent needs.  A host without any
+        recorded needs plans for what the customers' limits allow.
         """
         now = self.clock.now()
-        if self.watched_ms is not None and now - self.watched_ms < PLAN_MS:
+        if (
+            self.updated_ms is not None
+            and now - self.updated_ms < PLAN_INTERVAL_MS
+        ):
             return
-        self.watched_ms = now
-        for service in self._scaled():
-            self._note_need(service, now)
+        self.updated_ms = now
+        for service in self._list_scaled_services():
+            self._record_need(service, now)
 
     async def act(self, term):
-        """Send the orders that are due.
+        """Plan and send the orders that are due.
 
         :param term: the :class:`Term` under which they are sent.
         """
-        self.watch()
+        self.update_needs()
         now = self.clock.now()
-        if self.planned_ms is not None and now - self.planned_ms < PLAN_MS:
+        if (
+            self.planned_ms is not None
+            and now - self.planned_ms < PLAN_INTERVAL_MS
+        ):
             return
         self.planned_ms = now
-        for service in self._scaled():
-            if service.name not in self.needs:
-                # Configured since the needs were noted.
+        for service in self._list_scaled_services():
+            if service.name not in self.need_history:
+                # Configured since the needs were last recorded.
                 continue
             orders = self._plan(service, now)
-            # Together: the platform may take a second for each.
+            # Concurrently: the platform may take a second for each.
             await asyncio.gather(
                 *(self._send(order, term, now) for order in orders)
             )
 
-    def _scaled(self):
-        """Return the services whose endpoints are ordered."""
+    def _list_scaled_services(self):
+        """Return the services with automatic scaling."""
         services = self.host.config.current.services.values()
         return [service for service in services if service.scale is not None]
 
     def _plan(self, service, now):
-        """Return the orders that are to be in force now."""
-        zones = self._count(service.name)
-        need = self._need(service.name, now)
+        """Return the orders that should be in effect now."""
+        zones = self._count_endpoints(service.name)
+        need = self._compute_need(service.name, now)
         orders = scaling.plan_orders(
             service.name, service.scale, zones, need, self.settings
         )
         return [
-            order for order in orders if not self._waits(order, zones, now)
+            order
+            for order in orders
+            if not self._is_release_delayed(order, zones, now)
         ]
 
-    def _waits(self, order, zones, now):
-        """Say whether an order gives endpoints back too soon."""
+    def _is_release_delayed(self, order, zones, now):
+        """Return whether an order would release endpoints too early."""
         key = (order.service, order.zone, order.reclaimable)
         serving = zones[order.zone].of_kind(order.reclaimable)
         count, _ = self.ordered.get(key, (serving, 0))
         if order.count >= count:
-            self.lower_since_ms.pop(key, None)
+            self.release_since_ms.pop(key, None)
             return False
-        since_ms = self.lower_since_ms.setdefault(key, now)
+        since_ms = self.release_since_ms.setdefault(key, now)
         return now - since_ms < self.settings.release_ms
 
-    def _count(self, service_name):
+    def _count_endpoints(self, service_name):
         zones = dict.fromkeys(self.host.settings.zones, scaling.ZoneCount())
         for endpoint in self.host.fleet.endpoints.values():
             record = endpoint.record
@@ -113,15 +121,17 @@
             )
         return zones
 
-    def _note_need(self, service, now):
-        """Note how many endpoints the demand of now needs."""
+    def _record_need(self, service, now):
+        """Record how many endpoints the current demand needs."""
         service_name = service.name
         demand = self.host.demands.total(service_name)
         model = self.host.engines.of_service(service_name)
-        past = self.needs.get(service_name)
+        past = self.need_history.get(service_name)
         if past is None:
-            # Nobody has seen this service's demand yet.
-            past = self.needs[service_name] = {now: self._expect()}
+            # No demand for this service has been recorded yet.
+            past = self.need_history[service_name] = {
+                now: self._estimate_need()
+            }
         needed = scaling.count_needed(
             demand,
             model.tokens_per_ms,
@@ -131,7 +141,7 @@
         past[now] = max(past.get(now, 0), needed)
         for old in [at for at in past if now - at > self.settings.hold_ms]:
             del past[old]
-        need = self._need(service_name, now)
+        need = self._compute_need(service_name, now)
         if self.last_need.get(service_name) != need:
             self.last_need[service_name] = need
             logger.bind(
@@ -145,34 +155,36 @@
                 answers=round(model.answers),
             ).info('endpoints needed')
 
-    def _need(self, service_name, now):
-        """Return the :class:`Need` by the demand of the last time."""
+    def _compute_need(self, service_name, now):
+        """Return the :class:`Need` derived from the recorded needs."""
         return scaling.hold_need(
-            self.needs[service_name],
+            self.need_history[service_name],
             now,
             self.settings,
             self.host.feed.through_hubs,
         )
 
     def _find_slots(self, service):
-        """Return the slots of an endpoint; the fewest that any has.
+        """Return the number of slots per endpoint; the minimum if they differ.
 
-        While none is known, as when entries lapsed with the store, they are
-        those last known, or those that the configuration names.
+        If no endpoint is listed, for example because all entries expired
+        during a store outage, this is the last known number, or else the
+        one from the configuration.
         """
         slots = [
             endpoint.record.slots
             for endpoint in self.host.fleet.of_service(service.name)
         ]
         if slots:
-            self.slots[service.name] = min(slots)
-        named = service.engine.slots if service.engine else 1
-        return self.slots.get(service.name, named)
+            self.known_slots[service.name] = min(slots)
+        configured = service.engine.slots if service.engine else 1
+        return self.known_slots.get(service.name, configured)
 
-    def _expect(self):
-        """Return how many endpoints a service should need, by its limits.
+    def _estimate_need(self):
+        """Estimate a service's need from the customers' rate limits.
 
-        Customers' limits hold for all scaled services together.
+        A rate limit covers all scaled services together, so the total is
+        divided evenly between them.
         """
         config = self.host.config.current
         units = sum(
@@ -188,18 +200,18 @@
     async def _send(self, order, term, now):
         key = (order.service, order.zone, order.reclaimable)
         count, sent_ms = self.ordered.get(key, (None, 0))
-        if count == order.count and now - sent_ms < REPEAT_MS:
+        if count == order.count and now - sent_ms < ORDER_REPEAT_MS:
             return
         try:
             await self.calls.order(term, order)
         except exceptions.DutyCallError as exc:
             if exc.status == 409:
-                # None to be had: ask again, but not at every plan.
-                repeat_ms = now - REPEAT_MS + REFUSED_MS
+                # No capacity available: retry, but not with every plan.
+                repeat_ms = now - ORDER_REPEAT_MS + REFUSED_RETRY_MS
                 self.ordered[key] = (order.count, repeat_ms)
             logger.bind(
                 order=order, fencing=term.fencing, code=exc.code
-            ).warning(f'order not taken: {exc.message}')
+            ).warning(f'order failed: {exc.message}')
             return
         self.ordered[key] = (order.count, now)
         if count != order.count:
--- a/pearrun/shared/suspects.py
+++ b/pearrun/shared/suspects.py
@@ -1,11 +1,11 @@
-"""How a :class:`Suspect` is written for other hosts and for the store."""
+"""Serialization of a :class:`Suspect` for other hosts and the store."""
 
 from pearrun.decisions.evidence import Crash
 from pearrun.decisions.evidence import Suspect
 
 
 def to_fields(suspect):
-    """Return a suspect's fields: plain values."""
+    """Convert a suspect to a list of plain values."""
     crashes = [
         [
             crash.endpoint_id,
@@ -22,10 +22,10 @@
 
 
 def from_fields(fields):
-    """Return the :class:`Suspect` with these fields.
+    """Convert the result of :func:`to_fields` back to a :class:`Suspect`.
 
-    :raises ValueError: they are malformed.
-    :raises TypeError: the same.
+    :raises ValueError: the fields are malformed.
+    :raises TypeError: a field has the wrong type.
     """
     fingerprint, answered_ms, items = fields
     crashes = [decode_crash(*item) for item in items]
@@ -38,10 +38,10 @@
 
 
 def decode_crash(endpoint_id, at_ms, ran_ms, ran_well, call_id, zone, proven):
-    """Return a :class:`Crash` of checked fields.
+    """Return a :class:`Crash` after converting its fields.
 
-    :raises ValueError: one is malformed.
-    :raises TypeError: the same.
+    :raises ValueError: a field is malformed.
+    :raises TypeError: a field has the wrong type.
     """
     return Crash(
         str(endpoint_id),
--- a/pearrun/shared/term.py
+++ b/pearrun/shared/term.py
@@ -1,4 +1,4 @@
-"""One holding of the duties' lease: who may act, and with which token."""
+"""A term: one period of holding the lease, with its fencing token."""
 
 from pearrun import exceptions
 
@@ -6,13 +6,13 @@
 class Term:
     """The right to act under one fencing token.
 
-    A call for a duty is begun under a term and must not reach the platform
-    after it: a successor may have acted by then.  The token and the question
-    whether it still holds are one object, so that a lease that was lost and
-    taken again in the middle of a duty ends what was begun before.
+    A duty call belongs to a term and must not reach the platform after its
+    end, since a successor may have acted by then.  The token and the check of
+    its validity are one object, so that if the lease is lost and acquired
+    again during a duty, calls of the earlier term are still rejected.
 
     :param view: the :class:`LeaseView` of this host.
-    :param clock: its ``boot`` time counts suspended time.
+    :param clock: the clock; its ``boot`` time includes suspended time.
     """
 
     def __init__(self, view, clock):
@@ -21,20 +21,20 @@
         self._clock = clock
 
     def left_ms(self):
-        """Return the milliseconds for which it still holds; 0 after it."""
+        """Return the remaining milliseconds of the term; 0 after its end."""
         now = self._clock.boot()
         if self._view.fencing != self.fencing or not self._view.holds(now):
             return 0
         return self._view.valid_until_ms - now
 
     def holds(self):
-        """Say whether this host may act now."""
+        """Return whether the term has not ended."""
         return self.left_ms() > 0
 
     def check(self):
-        """Check that this host may act now.
+        """Check that the term has not ended.
 
-        :raises LeaseEndedError: it may not.
+        :raises LeaseEndedError: it has ended.
         """
         if not self.holds():
             raise exceptions.LeaseEndedError(
--- a/pearrun/shared/usage.py
+++ b/pearrun/shared/usage.py
@@ -1,14 +1,14 @@
-"""Calls that endpoints began to run, by customer and time window."""
+"""Counts of calls that endpoints started, by customer and time window."""
 
-# Windows kept: a report is due two windows after the window's end.
+# Past windows kept; a report is due two windows after the end of its window.
 KEPT_WINDOWS = 8
 
 
 class UsageCounts:
-    """Counts of this host; ``changes`` grows with each of them.
+    """Usage counts of this host; ``changes`` increases with each call.
 
-    :param wall_ms: returns the corrected time of day.
-    :param window_ms: length of a window.
+    :param wall_ms: function that returns the corrected wall-clock time.
+    :param window_ms: length of a window in milliseconds.
     """
 
     def __init__(self, wall_ms, window_ms):
@@ -17,15 +17,15 @@
         self.windows = {}
         self.changes = 0
 
-    def window_now(self):
-        """Return the number of the present window."""
+    def get_current_window(self):
+        """Return the number of the current window."""
         return self.wall_ms() // self.window_ms
 
     def count(self, call):
-        """Count a call that an endpoint began to run."""
+        """Count a call that an endpoint has started to execute."""
         if call.customer is None:
             return
-        window = self.window_now()
+        window = self.get_current_window()
         counts = self.windows.get(window)
         if counts is None:
             counts = self.windows[window] = {}
--- a/pearrun/shared/usageboard.py
+++ b/pearrun/shared/usagetable.py
@@ -1,16 +1,16 @@
-"""Usage counts of all hosts, as each of them reported them last."""
+"""Usage counts of all hosts, as last reported by each of them."""
 
 import collections
 
-# Windows kept: a report is due two windows after the window's end.
+# Past windows kept; a report is due two windows after the end of its window.
 KEPT_WINDOWS = 8
 
 
-class UsageBoard:
-    """Counts by window and by run of a host: its name and start time.
+class UsageTable:
+    """Counts by window and by run, which is a host's name and start time.
 
-    A host that was killed keeps what it had reported: its next run
-    counts from zero under another start time.
+    What a host had reported before it was killed stays in the table: its
+    next run counts from zero under another start time.
     """
 
     def __init__(self):
@@ -18,9 +18,10 @@
         self._changed = set()
 
     def put(self, host, started_ms, usage):
-        """Take a host's counts, which only grow within one run.
+        """Merge the counts of a host's run, which only increase.
 
-        What comes late, or was saved before, does not lower them.
+        Lower counts, from delayed reports or restored from the store, have
+        no effect.
 
         :param usage: counts by customer, by window number.
         """
@@ -41,26 +42,26 @@
         return changed
 
     def mark_changed(self, runs):
-        """Have runs count as changed once more: they could not be saved."""
+        """Mark runs as changed again, after saving them failed."""
         self._changed |= runs
 
     def list_runs(self):
-        """Return all runs that counted anything."""
+        """Return all runs that have counts."""
         return {run for by_run in self.windows.values() for run in by_run}
 
-    def counts_of(self, run, least_window):
+    def get_counts(self, run, first_window):
         """Return a run's counts by customer, by window number.
 
-        :param least_window: windows before this one are left out.
+        :param first_window: number of the first window to include.
         """
         return {
             window: by_run[run]
             for window, by_run in self.windows.items()
-            if window >= least_window and by_run.get(run)
+            if window >= first_window and by_run.get(run)
         }
 
     def total(self, window):
-        """Return the sum of all hosts' counts, by customer."""
+        """Return the sum of all hosts' counts in a window, by customer."""
         total = collections.Counter()
         for counts in self.windows.get(window, {}).values():
             total.update(counts)
--- a/tests/test_crashes.py
+++ b/tests/test_crashes.py
@@ -3,10 +3,10 @@
 import asyncio
 
 from pearrun.clock import Clock
-from pearrun.shared import crashes as crashes_module
-from pearrun.shared.crashcheck import CrashCheck
-from pearrun.shared.crashes import BrokenCall
-from pearrun.shared.crashes import Crashes
+from pearrun.shared import crashdetector as crashes_module
+from pearrun.shared.crashdetector import BrokenCall
+from pearrun.shared.crashdetector import CrashDetector
+from pearrun.shared.crashprobe import CrashProbe
 from pearrun.shared.fleet import EndpointRecord
 from pearrun.shared.fleet import Fleet
 from pearrun.states import EndpointState
@@ -51,10 +51,10 @@
         self.endpoint = self.fleet.endpoints['e']
         self.clock = FakeClock()
         self.fleet.listed_ms = self.clock.now()
-        self.crashes = Crashes(self.clock, self.fleet, 'zone-a', BEAT_MS)
+        self.crashes = CrashDetector(self.clock, self.fleet, 'zone-a', BEAT_MS)
         self.seen = Seen()
-        self.crashes.take_crashes = self.seen.take
-        self.crashes.take_back = self.seen.taken_back.append
+        self.crashes.handle_crashes = self.seen.take
+        self.crashes.retract_crash = self.seen.taken_back.append
 
     def pass_time(self, wait_ms, listed=True, heard=False):
         """Let time pass; the list is read meanwhile, or not."""
@@ -116,7 +116,7 @@
     site.break_call()
     site.crashes.note_down('e')
     site.clock.now_ms += PROOF_MS
-    site.crashes.note_missed()
+    site.crashes.restart_proofs()
     site.pass_time(100)
     assert not site.seen
 
@@ -168,7 +168,7 @@
 def test_a_call_that_broke_long_before_does_not_count():
     site = Site()
     site.break_call()
-    site.pass_time(crashes_module.KEEP_MS + 1)
+    site.pass_time(crashes_module.EXPIRY_MS + 1)
     site.crashes.note_down('e')
     site.pass_time(PROOF_MS)
     assert not site.seen
@@ -188,7 +188,7 @@
 
     async def main():
         site = Site(address=address)
-        check = CrashCheck(site.crashes)
+        check = CrashProbe(site.crashes)
         check.note_broken(site.endpoint, make_broken('f1'))
         await asyncio.sleep(0.6)
         site.pass_time(PROOF_MS)
--- a/tests/test_ownshare.py
+++ b/tests/test_ownshare.py
@@ -13,7 +13,7 @@
 from pearrun.shared.ownshare import KEPT_REPORTS
 from pearrun.shared.ownshare import OwnShare
 from pearrun.shared.prompts import Placed
-from pearrun.shared.quotas import Admitted
+from pearrun.shared.quotas import AdmittedUnits
 from pearrun.shared.reportboard import ReportBoard
 from pearrun.shared.reporter import Reporter
 from pearrun.shared.run import Run
@@ -80,12 +80,16 @@
         others_total += others
         kept[number] = own_total
         share.keep(
-            make_report(OWN, number, admitted={'c': Admitted(own_total, 0.0)})
+            make_report(
+                OWN, number, admitted={'c': AdmittedUnits(own_total, 0.0)}
+            )
         )
         covered = number - lag if number - lag >= first else None
         heard = kept[covered] - kept[first] if covered else 0.0
         sums = make_report(
-            HUB, number, admitted={'c': Admitted(others_total + heard, 0.0)}
+            HUB,
+            number,
+            admitted={'c': AdmittedUnits(others_total + heard, 0.0)},
         )
         left = share.leave_out(sums, covered).admitted['c'].total
         seen.append((others_total, left))
@@ -99,9 +103,9 @@
     share = OwnShare()
     share.keep(make_report(OWN, 1))
     share.leave_out(make_report(HUB, 1), 1)
-    share.keep(make_report(OWN, 2, admitted={'c': Admitted(500.0, 9.0)}))
-    sums = make_report(HUB, 2, admitted={'c': Admitted(800.0, 12.0)})
-    assert share.leave_out(sums, 2).admitted['c'] == Admitted(300.0, 3.0)
+    share.keep(make_report(OWN, 2, admitted={'c': AdmittedUnits(500.0, 9.0)}))
+    sums = make_report(HUB, 2, admitted={'c': AdmittedUnits(800.0, 12.0)})
+    assert share.leave_out(sums, 2).admitted['c'] == AdmittedUnits(300.0, 3.0)
     assert share.leave_out(sums, None).admitted['c'].total == 300.0
 
 
@@ -142,7 +146,7 @@
             run,
             number,
             loads={endpoint_id: Load(3, 2000) for endpoint_id in chosen},
-            admitted={name: Admitted(1e5, 500.0) for name in CUSTOMERS},
+            admitted={name: AdmittedUnits(1e5, 500.0) for name in CUSTOMERS},
             placed=(Placed(chosen[0], ('aa', 'bb')),),
         )
     )
--- a/tests/test_platform_adapter.py
+++ b/tests/test_platform_adapter.py
@@ -29,9 +29,9 @@
 from pearrun.shared.configuration import CallKind
 from pearrun.shared.loads import Load
 from pearrun.shared.prompts import Placed
-from pearrun.shared.quotas import Admitted
+from pearrun.shared.quotas import AdmittedUnits
 from pearrun.shared.run import Run
-from pearrun.shared.usageboard import UsageBoard
+from pearrun.shared.usagetable import UsageTable
 from pearrun.standins.platformsite import make_config
 from pearrun.standins.platformsite import make_settings_fields
 from pearrun.standins.platformsite import render_settings
@@ -104,10 +104,10 @@
 
 def test_only_repeatable_routes_are_repeatable():
     routes = {route.name: route for route in decode_config().routes}
-    assert routes['safe'].repeatable
-    assert routes['long'].repeatable
-    assert not routes['once'].repeatable
-    assert not routes['short'].repeatable
+    assert routes['safe'].retryable
+    assert routes['long'].retryable
+    assert not routes['once'].retryable
+    assert not routes['short'].retryable
     raw = make_config()['routes'][0]
     unknown = decoding.decode_route({**raw, 'kind': 'something new'})
     assert unknown.kind is CallKind.NON_IDEMPOTENT
@@ -205,7 +205,7 @@
         config_version=3,
         config_age_ms=12,
         loads={'e': Load(2, 900)},
-        admitted={'anna': Admitted(10, 2)},
+        admitted={'anna': AdmittedUnits(10, 2)},
         placed=(Placed('e', ('p', 'q')),),
         duty=reports.DutyNotice(HostName('h'), 9, 12, 150),
         demands={'s': Demand(2.5, 900, 1_000_000, 800)},
@@ -259,7 +259,7 @@
 
 
 def test_usage_of_a_killed_run_stays_and_the_next_run_adds_to_it():
-    board = UsageBoard()
+    board = UsageTable()
     board.put('h', 1, {5: {'anna': 3}})
     board.put('h', 1, {5: {'anna': 4}})
     board.put('h', 2, {5: {'anna': 1}})
--- a/tests/test_platform_duties.py
+++ b/tests/test_platform_duties.py
@@ -138,10 +138,10 @@
             (first,) = find_holders(site)
             for daemon in site.hosts.values():
                 scaler = daemon.duties.scaler
-                await wait_until(lambda scaler=scaler: scaler.needs)
+                await wait_until(lambda scaler=scaler: scaler.need_history)
                 # As after the time for which a need is held.
                 now = daemon.clock.now()
-                scaler.needs['model'] = {now: 7}
+                scaler.need_history['model'] = {now: 7}
             await first.end()
             del site.hosts[first.settings.name]
             await wait_until(lambda: find_holders(site), 10)
@@ -382,12 +382,12 @@
         async with run_site(make_config(), PLAIN) as site:
             (daemon,) = site.hosts.values()
             scaler = daemon.duties.scaler
-            scaler.watched_ms = daemon.clock.now()
+            scaler.updated_ms = daemon.clock.now()
             config = scaled_config(version=2)
             site.configure(config)
             await wait_until(lambda: daemon.host.config.version == 2)
             await scaler.act(make_term())
-            await wait_until(lambda: 'model' in scaler.needs)
+            await wait_until(lambda: 'model' in scaler.need_history)
 
     asyncio.run(main())
 
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -298,17 +298,17 @@
 
 def test_what_hosts_tell_each_other_is_bounded():
     quarantine = Quarantine(Clock())
-    quarantine.merge(make_known(1000), 'host-2', pass_on=True)
-    assert len(quarantine.take_told()) <= quarantine_module.MAX_TOLD
-    assert len(quarantine.list_known()) <= quarantine_module.MAX_TOLD
-    assert not quarantine.take_told()
+    quarantine.merge(make_known(1000), 'host-2', forward=True)
+    assert len(quarantine.collect_updates()) <= quarantine_module.MAX_SENT
+    assert len(quarantine.take_snapshot()) <= quarantine_module.MAX_SENT
+    assert not quarantine.collect_updates()
 
 
 def test_hosts_that_tell_all_others_do_not_pass_on_what_they_hear():
     quarantine = Quarantine(Clock())
-    quarantine.merge(make_known(3), 'host-2', pass_on=False)
+    quarantine.merge(make_known(3), 'host-2', forward=False)
     assert len(quarantine.known.quarantined) == 3
-    assert not quarantine.take_told()
+    assert not quarantine.collect_updates()
 
 
 def test_good_requests_of_the_same_customer_go_on_beside_the_quarantine():
--- a/tests/test_quota_cost.py
+++ b/tests/test_quota_cost.py
@@ -4,7 +4,7 @@
 
 from pearrun.decisions import quota
 from pearrun.shared.members import Member
-from pearrun.shared.quotas import Admitted
+from pearrun.shared.quotas import AdmittedUnits
 from pearrun.shared.run import Run
 from tests.platformsite import configure
 from tests.platformsite import make_host_context
@@ -40,17 +40,17 @@
     host = make_large_fleet_host()
     now = host.clock.now()
     host.quotas.started_ms = now - 1000
-    assert host.quotas._start_share(now) < 0.1
+    assert host.quotas._compute_share(now) < 0.1
     for number in range(HOSTS):
         host.members.note_heard(f'h{number}')
-    assert host.quotas._start_share(now) == 1.0
+    assert host.quotas._compute_share(now) == 1.0
     host.members.heard.clear()
-    assert host.quotas._start_share(now) == 1.0
+    assert host.quotas._compute_share(now) == 1.0
 
 
 def put_report(host):
     """Take another host's report of all customers."""
-    admitted = {name: Admitted(100.0, 10.0) for name in CUSTOMERS}
+    admitted = {name: AdmittedUnits(100.0, 10.0) for name in CUSTOMERS}
     host.quotas.put_report(RUN, admitted)
 
 
--- a/tests/test_usage_saving.py
+++ b/tests/test_usage_saving.py
@@ -14,8 +14,8 @@
 from pearrun import exceptions
 from pearrun.decisions import lease
 from pearrun.platform import usagelog
-from pearrun.shared.usageboard import UsageBoard
-from pearrun.shared.usagesaving import UsageSaving
+from pearrun.shared.usagesaver import UsageSaver
+from pearrun.shared.usagetable import UsageTable
 from pearrun.standins.platformsite import make_config
 from tests.platformsite import call
 from tests.platformsite import run_site
@@ -106,10 +106,10 @@
     @rule()
     def succeed(self):
         """Another host takes the lease; it has heard of nobody yet."""
-        self.board = UsageBoard()
-        self.saving = UsageSaving(self.board, self.log)
+        self.board = UsageTable()
+        self.saving = UsageSaver(self.board, self.log)
         self.fencing += 1
-        asyncio.run(self.saving.take_up(Terms(self.fencing)))
+        asyncio.run(self.saving.restore(Terms(self.fencing)))
         for name in HOSTS:
             self.report(name)
 
@@ -166,9 +166,9 @@
 def test_counts_of_runs_that_are_reported_leave_the_store():
     async def main():
         log = usagelog.UsageLog(StoreEntries())
-        board = UsageBoard()
-        saving = UsageSaving(board, log)
-        await saving.take_up(Terms(1))
+        board = UsageTable()
+        saving = UsageSaver(board, log)
+        await saving.restore(Terms(1))
         board.put('h', 1, {4: {'c': 2}})
         await saving.save(4)
         assert await log.read()
@@ -257,11 +257,11 @@
             duties = host.duties
             now = duties.host.time.wall() // 1000
             duties.view.agreed_until = now - 3
-            assert duties._may_be_agreed(now - 3)
-            assert not duties._may_be_agreed(now - 2)
+            assert duties._may_be_committed(now - 3)
+            assert not duties._may_be_committed(now - 2)
             duties.view.note_history_lost(duties.clock.boot())
-            assert duties._may_be_agreed(now - 2)
-            assert not duties._may_be_agreed(now + 1)
+            assert duties._may_be_committed(now - 2)
+            assert not duties._may_be_committed(now + 1)
 
     asyncio.run(main())
 
