--- a/pearrun/shared/counters.py
+++ b/pearrun/shared/counters.py
@@ -18,8 +18,8 @@
         self.sends = 0
         self.repeats = 0
         self.rejected = 0
-        self.first = {}
-        self.total = {}
+        self.first_byte = {}
+        self.response = {}
 
     def count_call(self, trace, now_ms):
         """Record the outcome and the latencies of a call that has ended."""
@@ -31,9 +31,12 @@
         route = trace.call.route.name
         if trace.first_event_ms is not None:
             record(
-                self._get_histogram(self.first, route), trace.first_event_ms
+                self._get_histogram(self.first_byte, route),
+                trace.first_event_ms,
             )
-        record(self._get_histogram(self.total, route), now_ms - trace.begun_ms)
+        record(
+            self._get_histogram(self.response, route), now_ms - trace.begun_ms
+        )
 
     def render(self, gauges, store_calls=()):
         """Return all metrics as text, one per line.
@@ -52,8 +55,8 @@
         for (route, ending, status), count in sorted(self.endings.items()):
             labels = f'route="{route}",ending="{ending}",status="{status}"'
             lines.append(f'pearrun_calls_total{{{labels}}} {count}')
-        lines.extend(render_histograms('first_byte_ms', self.first))
-        lines.extend(render_histograms('answer_ms', self.total))
+        lines.extend(render_histograms('first_byte_ms', self.first_byte))
+        lines.extend(render_histograms('answer_ms', self.response))
         return '\n'.join(lines) + '\n'
 
     def _get_histogram(self, table, route):
--- a/pearrun/shared/crashdetector.py
+++ b/pearrun/shared/crashdetector.py
@@ -1,7 +1,7 @@
 """Detects endpoint crashes and the calls that were in flight there.
 
 Load pattern: a connection breaks because the endpoint crashes, because it
-fails a response but keeps running, because it shuts down as announced, or
+sends a broken response but keeps running, because it shuts down as announced, or
 because of a network partition, which can look like a crash of all endpoints
 on the other side.  An endpoint counts as crashed if its address refuses
 connections and its heartbeats at the platform have stopped as well.  While
@@ -26,7 +26,8 @@
 READ_MARGIN_MS = 400
 # Maximum delay of a heartbeat, as a fraction of the heartbeat interval.
 HEARTBEAT_JITTER = 0.25
-# A long poll that returns a heartbeat may have started this long before it.
+# A long poll that returns a heartbeat may have started this long before it;
+# reads are dated by their start.
 READ_LEAD_MS = 300
 # Older endpoint lists are taken to mean that the list cannot be read.
 LIST_STALE_MS = 2500
@@ -106,7 +107,7 @@
         :param broken: the :class:`BrokenCall`.
         :returns: whether the endpoint should be probed for being down.
         """
-        outage = self._find(endpoint.id)
+        outage = self._find_outage(endpoint.id)
         if outage is None:
             return False
         if len(outage.calls) < MAX_CALLS:
@@ -116,7 +117,7 @@
 
     def note_down(self, endpoint_id):
         """Record that an endpoint's address refuses connections."""
-        outage = self._find(endpoint_id)
+        outage = self._find_outage(endpoint_id)
         if outage is not None and outage.down_ms is None:
             outage.down_ms = self.clock.now()
             self._report(endpoint_id, outage)
@@ -173,7 +174,7 @@
             elif not outage.proven and self._is_proven(outage, now):
                 self._prove(endpoint_id, outage)
 
-    def _find(self, endpoint_id):
+    def _find_outage(self, endpoint_id):
         """Return the outage of an endpoint, creating one if necessary.
 
         :returns: an :class:`Outage`, or ``None`` if the endpoint is unknown
--- a/pearrun/shared/duties.py
+++ b/pearrun/shared/duties.py
@@ -81,10 +81,10 @@
             try:
                 await step()
             except exceptions.StoreConflictError:
-                await self._read_quietly()
+                await self._try_read_log()
             except exceptions.PearrunError as exc:
                 logger.bind(code=exc.code).info(f'lease: {exc.message}')
-                await self._read_quietly()
+                await self._try_read_log()
             await asyncio.sleep(to_seconds(pause_ms))
 
     def holds(self):
@@ -153,7 +153,7 @@
             return True
         return self.view.may_claim(self.clock.boot())
 
-    async def _read_quietly(self):
+    async def _try_read_log(self):
         try:
             await self.log.read()
         except exceptions.PearrunError as exc:
--- a/pearrun/shared/quarantine.py
+++ b/pearrun/shared/quarantine.py
@@ -171,26 +171,26 @@
         :returns: whether anything in it was new.
         """
         fingerprint = suspect.fingerprint
-        news = [
+        changes = [
             self._note_crash(fingerprint, crash)
             for crash in suspect.crashes.values()
         ]
         if suspect.answered_ms is not None:
-            news.append(
+            changes.append(
                 self.known.note_answered(fingerprint, suspect.answered_ms)
             )
-        return any(news)
+        return any(changes)
 
     def _note_crash(self, fingerprint, crash):
         """Add a crash, and the last answer if this host remembers one.
 
         :returns: whether either was new.
         """
-        news = self.known.note_crash(fingerprint, crash)
+        is_new = self.known.note_crash(fingerprint, crash)
         answered_ms = self._answered.get(fingerprint)
         if answered_ms is not None:
-            news |= self.known.note_answered(fingerprint, answered_ms)
-        return news
+            is_new |= self.known.note_answered(fingerprint, answered_ms)
+        return is_new
 
     def _update_quarantine(self, source):
         """Recompute which requests are quarantined and log the changes.
--- a/tests/test_crashes.py
+++ b/tests/test_crashes.py
@@ -1,9 +1,9 @@
-"""Which broken calls count as calls of an endpoint that crashed."""
+"""Detection of endpoint crashes from broken calls and heartbeats."""
 
 import asyncio
 
 from pearrun.clock import Clock
-from pearrun.shared import crashdetector as crashes_module
+from pearrun.shared import crashdetector
 from pearrun.shared.crashdetector import BrokenCall
 from pearrun.shared.crashdetector import CrashDetector
 from pearrun.shared.crashprobe import CrashProbe
@@ -13,27 +13,30 @@
 from tests.builders import free_port
 
 
-class Seen(list):
-    """Keeps the crashes told, as endpoint ids and fingerprints."""
+class CrashRecorder(list):
+    """Records reported crashes as pairs of endpoint id and fingerprint.
+
+    The list itself holds proven crashes.
+    """
 
     def __init__(self):
         super().__init__()
         self.unproven = []
-        self.taken_back = []
+        self.retracted = []
 
-    def take(self, crashes):
+    def record(self, crashes):
         for fingerprint, crash in crashes:
-            seen = self if crash.proven else self.unproven
-            seen.append((crash.endpoint_id, fingerprint))
+            target = self if crash.proven else self.unproven
+            target.append((crash.endpoint_id, fingerprint))
 
 
 def make_broken(fingerprint, ran_ms=10):
-    """Return a call that has just broken."""
+    """Return a :class:`BrokenCall` that broke just now."""
     return BrokenCall(fingerprint, ran_ms, Clock().now())
 
 
 class FakeClock(Clock):
-    """A clock that is set."""
+    """A clock whose time is set by the test."""
 
     now_ms = 1_000_000
 
@@ -41,8 +44,8 @@
         return self.now_ms
 
 
-class Site:
-    """Crashes seen by a host in zone-a that hears of one endpoint."""
+class DetectorHarness:
+    """A crash detector of a host in zone-a that knows one endpoint."""
 
     def __init__(self, zone='zone-b', state=EndpointState.LIVE, address='x:1'):
         self.fleet = Fleet()
@@ -51,13 +54,19 @@
         self.endpoint = self.fleet.endpoints['e']
         self.clock = FakeClock()
         self.fleet.listed_ms = self.clock.now()
-        self.crashes = CrashDetector(self.clock, self.fleet, 'zone-a', BEAT_MS)
-        self.seen = Seen()
-        self.crashes.handle_crashes = self.seen.take
-        self.crashes.retract_crash = self.seen.taken_back.append
+        self.crashes = CrashDetector(
+            self.clock, self.fleet, 'zone-a', HEARTBEAT_MS
+        )
+        self.recorder = CrashRecorder()
+        self.crashes.handle_crashes = self.recorder.record
+        self.crashes.retract_crash = self.recorder.retracted.append
 
     def pass_time(self, wait_ms, listed=True, heard=False):
-        """Let time pass; the list is read meanwhile, or not."""
+        """Advance the clock, then check for proven crashes.
+
+        :param listed: whether the endpoint list was read meanwhile.
+        :param heard: whether a heartbeat of the endpoint was read.
+        """
         self.clock.now_ms += wait_ms
         if heard:
             self.crashes.note_heard('e', self.clock.now())
@@ -66,138 +75,141 @@
         self.crashes.check()
 
     def break_call(self, fingerprint='f1'):
-        """Have the endpoint break a call."""
+        """Report a call that the endpoint broke."""
         return self.crashes.note_broken(
             self.endpoint, make_broken(fingerprint)
         )
 
 
-BEAT_MS = 1200
+HEARTBEAT_MS = 1200
 PROOF_MS = 2500
 
 
-def test_calls_that_broke_count_when_heartbeats_end_too():
-    site = Site()
-    assert site.break_call('f1')
-    site.crashes.note_down('e')
-    site.pass_time(BEAT_MS)
-    assert not site.seen
-    site.pass_time(PROOF_MS - BEAT_MS)
-    assert not site.break_call('f2')
-    assert site.seen == [('e', 'f1'), ('e', 'f2')]
-    assert site.crashes.total == 1
-
-
-def test_an_endpoint_behind_a_cut_path_has_not_crashed():
-    site = Site()
-    site.break_call()
-    site.crashes.note_down('e')
-    assert site.seen.unproven == [('e', 'f1')]
-    site.pass_time(BEAT_MS, heard=True)
-    assert site.seen.taken_back == ['e']
-    site.pass_time(PROOF_MS)
-    assert not site.seen
-
-
-def test_an_endpoint_of_a_zone_that_is_cut_off_has_not_crashed():
-    site = Site()
-    site.break_call()
-    site.crashes.note_down('e')
+def test_broken_calls_are_reported_as_crashes_once_heartbeats_stop():
+    harness = DetectorHarness()
+    assert harness.break_call('f1')
+    harness.crashes.note_down('e')
+    harness.pass_time(HEARTBEAT_MS)
+    assert not harness.recorder
+    harness.pass_time(PROOF_MS - HEARTBEAT_MS)
+    assert not harness.break_call('f2')
+    assert harness.recorder == [('e', 'f1'), ('e', 'f2')]
+    assert harness.crashes.total == 1
+
+
+def test_an_endpoint_behind_a_partition_has_not_crashed():
+    harness = DetectorHarness()
+    harness.break_call()
+    harness.crashes.note_down('e')
+    assert harness.recorder.unproven == [('e', 'f1')]
+    harness.pass_time(HEARTBEAT_MS, heard=True)
+    assert harness.recorder.retracted == ['e']
+    harness.pass_time(PROOF_MS)
+    assert not harness.recorder
+
+
+def test_an_endpoint_of_a_partitioned_zone_has_not_crashed():
+    harness = DetectorHarness()
+    harness.break_call()
+    harness.crashes.note_down('e')
     for _ in range(5):
-        site.pass_time(1000, listed=False)
-    # The path is back, and with it the heartbeats that were missed.
-    site.pass_time(10, heard=True)
-    site.pass_time(PROOF_MS)
-    assert not site.seen
-
-
-def test_heartbeats_that_were_never_read_prove_nothing():
-    site = Site()
-    site.break_call()
-    site.crashes.note_down('e')
-    site.clock.now_ms += PROOF_MS
-    site.crashes.restart_proofs()
-    site.pass_time(100)
-    assert not site.seen
-
-
-def test_a_host_that_is_cut_off_knows_crashes_in_its_own_zone():
-    site = Site(zone='zone-a')
-    site.break_call()
-    site.crashes.note_down('e')
+        harness.pass_time(1000, listed=False)
+    # The partition heals, and the missed heartbeats arrive.
+    harness.pass_time(10, heard=True)
+    harness.pass_time(PROOF_MS)
+    assert not harness.recorder
+
+
+def test_unread_heartbeats_are_no_proof_of_a_crash():
+    harness = DetectorHarness()
+    harness.break_call()
+    harness.crashes.note_down('e')
+    harness.clock.now_ms += PROOF_MS
+    harness.crashes.restart_proofs()
+    harness.pass_time(100)
+    assert not harness.recorder
+
+
+def test_a_partitioned_host_detects_crashes_in_its_own_zone():
+    harness = DetectorHarness(zone='zone-a')
+    harness.break_call()
+    harness.crashes.note_down('e')
     for _ in range(3):
-        site.pass_time(1000, listed=False)
-    assert site.seen == [('e', 'f1')]
+        harness.pass_time(1000, listed=False)
+    assert harness.recorder == [('e', 'f1')]
 
 
-def test_an_endpoint_that_leaves_has_not_crashed():
-    site = Site(state=EndpointState.LEAVING)
-    assert not site.break_call()
-    site.crashes.note_down('e')
-    site.pass_time(PROOF_MS)
-    assert not site.seen
+def test_an_endpoint_that_shuts_down_has_not_crashed():
+    harness = DetectorHarness(state=EndpointState.LEAVING)
+    assert not harness.break_call()
+    harness.crashes.note_down('e')
+    harness.pass_time(PROOF_MS)
+    assert not harness.recorder
 
 
-def test_an_endpoint_that_ends_after_its_entry_was_removed_has_left():
-    site = Site()
-    site.break_call()
-    site.crashes.note_removed('e')
-    site.fleet.remove('e')
-    site.crashes.note_down('e')
-    site.pass_time(PROOF_MS)
-    assert not site.seen
+def test_an_endpoint_that_stops_after_removal_of_its_entry_has_not_crashed():
+    harness = DetectorHarness()
+    harness.break_call()
+    harness.crashes.note_removed('e')
+    harness.fleet.remove('e')
+    harness.crashes.note_down('e')
+    harness.pass_time(PROOF_MS)
+    assert not harness.recorder
 
 
-def test_an_endpoint_that_leaves_once_it_is_down_has_not_crashed():
-    site = Site()
-    site.break_call()
-    site.crashes.note_down('e')
-    site.crashes.note_leaving('e')
-    site.pass_time(PROOF_MS)
-    assert not site.seen
+def test_an_endpoint_whose_shutdown_notice_arrives_late_has_not_crashed():
+    harness = DetectorHarness()
+    harness.break_call()
+    harness.crashes.note_down('e')
+    harness.crashes.note_leaving('e')
+    harness.pass_time(PROOF_MS)
+    assert not harness.recorder
 
 
-def test_an_endpoint_that_was_down_when_its_entry_lapsed_has_crashed():
-    site = Site()
-    site.break_call()
-    site.crashes.note_down('e')
-    site.crashes.note_removed('e')
-    assert site.seen == [('e', 'f1')]
+def test_an_endpoint_that_was_down_when_its_entry_expired_has_crashed():
+    harness = DetectorHarness()
+    harness.break_call()
+    harness.crashes.note_down('e')
+    harness.crashes.note_removed('e')
+    assert harness.recorder == [('e', 'f1')]
 
 
-def test_a_call_that_broke_long_before_does_not_count():
-    site = Site()
-    site.break_call()
-    site.pass_time(crashes_module.EXPIRY_MS + 1)
-    site.crashes.note_down('e')
-    site.pass_time(PROOF_MS)
-    assert not site.seen
+def test_a_call_that_broke_long_before_is_not_reported():
+    harness = DetectorHarness()
+    harness.break_call()
+    harness.pass_time(crashdetector.EXPIRY_MS + 1)
+    harness.crashes.note_down('e')
+    harness.pass_time(PROOF_MS)
+    assert not harness.recorder
 
 
-def test_what_is_kept_of_crashes_is_bounded():
-    site = Site()
-    for number in range(3 * crashes_module.MAX_CALLS):
-        site.break_call(f'f{number}')
-    site.crashes.note_down('e')
-    site.pass_time(PROOF_MS)
-    assert len(site.seen) == crashes_module.MAX_CALLS
+def test_the_number_of_broken_calls_kept_is_bounded():
+    harness = DetectorHarness()
+    for number in range(3 * crashdetector.MAX_CALLS):
+        harness.break_call(f'f{number}')
+    harness.crashes.note_down('e')
+    harness.pass_time(PROOF_MS)
+    assert len(harness.recorder) == crashdetector.MAX_CALLS
 
 
 def check_endpoint(address):
-    """Have an endpoint at an address break a call; say if it is found down."""
+    """Return a coroutine that probes an address after a broken call.
+
+    Its result tells whether a crash was reported.
+    """
 
     async def main():
-        site = Site(address=address)
-        check = CrashProbe(site.crashes)
-        check.note_broken(site.endpoint, make_broken('f1'))
+        harness = DetectorHarness(address=address)
+        probe = CrashProbe(harness.crashes)
+        probe.note_broken(harness.endpoint, make_broken('f1'))
         await asyncio.sleep(0.6)
-        site.pass_time(PROOF_MS)
-        return bool(site.seen)
+        harness.pass_time(PROOF_MS)
+        return bool(harness.recorder)
 
     return main()
 
 
-def test_an_endpoint_that_spoils_answers_has_not_crashed():
+def test_an_endpoint_that_only_closes_connections_has_not_crashed():
     async def main():
         server = await asyncio.start_server(
             lambda reader, writer: writer.close(), '127.0.0.1', free_port()
--- a/tests/test_platform_duties.py
+++ b/tests/test_platform_duties.py
@@ -1,4 +1,4 @@
-"""Duties, peers and hosts together, over the stand-ins."""
+"""Integration tests of duties and host peering against the stand-ins."""
 
 import asyncio
 import socket
@@ -29,7 +29,7 @@
 
 
 def scaled_config(**fields):
-    """Return a configuration whose model service may be scaled."""
+    """Return a configuration whose model service is autoscaled."""
     config = make_config(**fields)
     config['services'][1]['autoscale'] = {
         'min': 1,
@@ -42,9 +42,9 @@
 
 
 def make_term(left_ms=60_000):
-    """Return the term of a lease that was just renewed.
+    """Return the :class:`Term` of a lease that this host holds.
 
-    :param left_ms: how long it still holds.
+    :param left_ms: remaining milliseconds of the term.
     """
     clock = Clock()
     view = LeaseView('host-1/1')
@@ -54,7 +54,7 @@
 
 
 def find_holders(site):
-    """Return the hosts that hold the lease now."""
+    """Return the daemons that hold the lease now."""
     return [
         daemon
         for daemon in site.hosts.values()
@@ -62,7 +62,7 @@
     ]
 
 
-def test_usage_of_all_hosts_is_reported_once_and_exactly():
+def test_usage_of_all_hosts_is_reported_exactly_once():
     async def main():
         async with run_site(make_config(), PLAIN, hosts=3) as site:
             await wait_until(lambda: find_holders(site))
@@ -78,13 +78,13 @@
 
 
 def count_usage(site):
-    """Return all calls reported for anna, a window counted once."""
+    """Return the number of calls reported for anna, each window once."""
     return sum(
         counts.get('anna', 0) for counts in dict(site.api.usage()).values()
     )
 
 
-def test_a_successor_repeats_the_agreed_counts_with_a_higher_token():
+def test_a_successor_repeats_the_committed_counts_with_a_higher_token():
     async def main():
         async with run_site(make_config(), PLAIN, hosts=3) as site:
             await wait_until(lambda: find_holders(site))
@@ -111,7 +111,7 @@
     asyncio.run(main())
 
 
-def test_cheap_endpoints_are_ordered_before_dear_ones_are_given_back():
+def test_spot_endpoints_are_ordered_before_on_demand_ones_are_released():
     async def main():
         async with run_site(scaled_config(), PLAIN) as site:
             await wait_until(lambda: site.api.orders())
@@ -126,8 +126,8 @@
     asyncio.run(main())
 
 
-def test_a_successor_orders_by_the_needs_of_the_last_time():
-    """It watched the demand all along; limits alone would ask for more."""
+def test_a_successor_orders_by_the_recent_needs():
+    """It recorded the demand all along; by the limits it would order more."""
 
     async def main():
         config = scaled_config()
@@ -139,7 +139,7 @@
             for daemon in site.hosts.values():
                 scaler = daemon.duties.scaler
                 await wait_until(lambda scaler=scaler: scaler.need_history)
-                # As after the time for which a need is held.
+                # The state once all older needs have expired.
                 now = daemon.clock.now()
                 scaler.need_history['model'] = {now: 7}
             await first.end()
@@ -152,7 +152,7 @@
     asyncio.run(main())
 
 
-def test_hosts_see_each_others_load_and_admissions():
+def test_hosts_receive_each_others_load_and_admitted_units():
     async def main():
         config = make_config()
         config['tenants'][0].update(rate_per_s=1000, burst=1000)
@@ -167,8 +167,9 @@
             await wait_until(lambda: two.host.loads.get('m1').calls == 1)
             bucket = two.host.quotas.buckets['anna']
             await wait_until(lambda: bucket.peers)
-            # It was heard before, so its first call is news; and the few
-            # milliseconds since its last report make no rate.
+            # The host has reported before, so its first call counts as used;
+            # and the few milliseconds since its last report must not give a
+            # huge rate.
             (use,) = bucket.peers.values()
             assert use.used > 0
             assert 0 < use.rate <= use.used / quota.IDLE_S
@@ -177,7 +178,7 @@
     asyncio.run(main())
 
 
-def test_every_host_learns_where_a_beginning_was_placed():
+def test_every_host_learns_where_a_prompt_prefix_was_placed():
     async def main():
         runners = [('m1', 'model')]
         async with run_site(make_config(), runners, hosts=3) as site:
@@ -200,8 +201,8 @@
     asyncio.run(main())
 
 
-def test_a_large_prompt_is_told_to_the_other_hosts_at_once():
-    """Well before the next report is due."""
+def test_a_large_prompt_is_reported_to_the_other_hosts_at_once():
+    """The report arrives well before the next regular one is due."""
 
     async def main():
         runners = [('m1', 'model')]
@@ -209,7 +210,7 @@
             one, two = site.hosts.values()
             site.runners['m1'].event_ms = 500
             await wait_until(lambda: len(two.reports.versions) == 1)
-            waits = []
+            delays = []
             for number in range(3):
                 task = asyncio.create_task(
                     call(
@@ -221,12 +222,12 @@
                     )
                 )
                 await wait_until(lambda: one.host.fleet.endpoints['m1'].calls)
-                began = two.clock.now()
+                started_ms = two.clock.now()
                 await wait_until(lambda: two.host.loads.get('m1').calls)
-                waits.append(two.clock.since(began))
+                delays.append(two.clock.since(started_ms))
                 await task
                 await wait_until(lambda: not two.host.loads.get('m1').calls)
-            assert max(waits) < 100
+            assert max(delays) < 100
 
     asyncio.run(main())
 
@@ -249,7 +250,7 @@
     asyncio.run(main())
 
 
-def test_a_host_that_ended_is_forgotten_at_once():
+def test_a_stopped_host_is_removed_at_once():
     async def main():
         async with run_site(make_config(), PLAIN, hosts=2) as site:
             one, two = site.hosts.values()
@@ -284,7 +285,7 @@
     asyncio.run(main())
 
 
-def test_a_duty_call_that_is_refused_is_an_error_with_its_status():
+def test_a_refused_duty_call_raises_an_error_with_the_status():
     async def main():
         async with run_site(make_config(), PLAIN) as site:
             site.api.status = 409
@@ -294,12 +295,12 @@
             except dutycalls.exceptions.DutyCallError as exc:
                 assert exc.status == 409
             else:
-                raise AssertionError('the refusal was taken for a success')
+                raise AssertionError('the refused call raised no error')
 
     asyncio.run(main())
 
 
-def test_a_lease_taken_again_does_not_renew_an_older_term():
+def test_acquiring_the_lease_again_does_not_revive_an_older_term():
     term = make_term()
     view = term._view
     view.apply(1, LeaseRecord(RecordKind.CLAIM, 'host-2/1'))
@@ -312,7 +313,7 @@
         term.check()
 
 
-def test_no_duty_call_is_sent_or_awaited_after_its_term():
+def test_no_duty_call_is_sent_or_awaited_after_the_end_of_its_term():
     async def main():
         async with run_site(make_config(), PLAIN) as site:
             client = dutycalls.DutyClient(site.api_address, 'host-1')
@@ -326,16 +327,16 @@
 
 
 async def serve_silently(port, receive_bytes):
-    """Serve connections that are not read until ``read`` is set.
+    """Accept connections but read no data until ``read`` is set.
 
-    :param receive_bytes: the kernel's buffer of unread bytes.
-    :returns: ``(server, read, received)``; what was read of each
-        connection is put on the queue ``received``.
+    :param receive_bytes: size of the kernel's receive buffer.
+    :returns: ``(server, read, received)``; the data of each connection is
+        put on the queue ``received``.
     """
     read = asyncio.Event()
     received = asyncio.Queue()
 
-    async def take(reader, writer):
+    async def receive(reader, writer):
         reader._transport.pause_reading()
         await read.wait()
         reader._transport.resume_reading()
@@ -352,12 +353,12 @@
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, receive_bytes)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     sock.bind(('127.0.0.1', port))
-    server = await asyncio.start_server(take, sock=sock, limit=1024)
+    server = await asyncio.start_server(receive, sock=sock, limit=1024)
     return server, read, received
 
 
-def test_what_a_broken_path_holds_back_does_not_arrive_after_the_term():
-    """The path stops taking bytes; it heals when the term is over."""
+def test_buffered_data_of_a_duty_call_does_not_arrive_after_the_term():
+    """The connection stalls in mid-call and recovers after the term."""
 
     async def main():
         port = free_port()
@@ -377,7 +378,7 @@
     asyncio.run(main())
 
 
-def test_a_service_that_is_configured_later_is_planned_at_the_next_watch():
+def test_a_service_configured_later_is_planned_after_the_next_update():
     async def main():
         async with run_site(make_config(), PLAIN) as site:
             (daemon,) = site.hosts.values()
@@ -392,8 +393,8 @@
     asyncio.run(main())
 
 
-def test_endpoints_whose_entries_lapsed_leave_the_need_as_it_was():
-    """Without any entry an endpoint's slots are not taken to be one."""
+def test_the_slots_per_endpoint_stay_known_when_all_entries_expire():
+    """Guards against a need computed as if each endpoint had one slot."""
 
     async def main():
         async with run_site(scaled_config(), [('m1', 'model')]) as site:
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -1,4 +1,4 @@
-"""Which requests are quarantined, and which are not."""
+"""Which requests are quarantined and which are not."""
 
 import asyncio
 import dataclasses
@@ -30,7 +30,10 @@
 
 
 def make_suspects(*crashes, now_ms=NOW_MS):
-    """Return judged suspects of crashes: fingerprint, endpoint, ran_ms."""
+    """Return suspects, judged once, from crashes.
+
+    :param crashes: tuples of fingerprint, endpoint id and ``ran_ms``.
+    """
     suspects = Suspects()
     for fingerprint, endpoint_id, ran_ms in crashes:
         suspects.note_crash(fingerprint, Crash(endpoint_id, NOW_MS, ran_ms))
@@ -38,26 +41,26 @@
     return suspects
 
 
-def test_three_crashed_endpoints_are_enough_and_two_are_not():
+def test_three_crashed_endpoints_start_a_quarantine_and_two_do_not():
     crashes = [('bad', f'e{number}', 50) for number in range(3)]
     assert 'bad' in make_suspects(*crashes).quarantined
     assert not make_suspects(*crashes[:2]).quarantined
     assert not make_suspects(*crashes[:2], *crashes[:2]).quarantined
 
 
-def test_a_call_beside_the_one_that_crashes_endpoints_goes_on():
+def test_a_call_running_beside_a_crashing_one_is_not_quarantined():
     crashes = [('bad', f'e{number}', 50) for number in range(4)]
-    beside = [('good', f'e{number}', 20) for number in range(3)]
-    assert set(make_suspects(*beside, *crashes).quarantined) == {'bad'}
+    bystanders = [('good', f'e{number}', 20) for number in range(3)]
+    assert set(make_suspects(*bystanders, *crashes).quarantined) == {'bad'}
 
 
-def test_of_two_under_the_same_crashes_the_one_just_begun_is_quarantined():
+def test_of_two_calls_under_the_same_crashes_the_newer_is_quarantined():
     crashes = [('bad', f'e{number}', 50) for number in range(3)]
-    beside = [('good', f'e{number}', 900) for number in range(3)]
-    assert set(make_suspects(*beside, *crashes).quarantined) == {'bad'}
+    bystanders = [('good', f'e{number}', 900) for number in range(3)]
+    assert set(make_suspects(*bystanders, *crashes).quarantined) == {'bad'}
 
 
-def test_a_request_that_is_answered_goes_on():
+def test_a_recently_answered_request_is_not_quarantined():
     suspects = make_suspects(('hot', 'e0', 50), ('hot', 'e1', 50))
     suspects.note_answered('hot', NOW_MS)
     for number in range(2, 9):
@@ -76,7 +79,7 @@
     assert 'bad' in suspects.quarantined
 
 
-def test_answers_that_ran_well_count_half():
+def test_crashes_under_calls_that_ran_well_count_half():
     suspects = Suspects()
     for number in range(5):
         at_ms = NOW_MS + number * 5000
@@ -88,7 +91,7 @@
     assert 'long' in suspects.quarantined
 
 
-def test_endpoints_that_crash_at_once_under_long_calls_count_as_one():
+def test_simultaneous_crashes_under_long_calls_count_as_one():
     suspects = Suspects()
     for number in range(50):
         at_ms = NOW_MS + number * 10
@@ -97,7 +100,7 @@
     assert not suspects.quarantined
 
 
-def test_a_call_that_met_many_endpoints_of_a_cut_zone_goes_on():
+def test_a_call_tried_at_many_endpoints_of_a_lost_zone_is_not_quarantined():
     suspects = Suspects()
     for number in range(9):
         crash = Crash(
@@ -120,11 +123,11 @@
 
 
 def make_unproven(number, call_id):
-    """Return a crash that is not proven yet."""
+    """Return an unproven :class:`Crash`."""
     return Crash(f'e{number}', NOW_MS, 50, False, call_id, 'z', False)
 
 
-def test_crashes_that_are_not_proven_count_for_a_short_time():
+def test_unproven_crashes_count_for_a_short_time():
     suspects = Suspects()
     for number in range(3):
         suspects.note_crash('bad', make_unproven(number, f'call-{number}'))
@@ -137,7 +140,7 @@
     assert not suspects.suspects
 
 
-def test_a_call_that_met_many_endpoints_behind_a_cut_is_not_refused():
+def test_a_call_tried_at_many_partitioned_endpoints_is_not_refused():
     suspects = Suspects()
     for number in range(9):
         suspects.note_crash('good', make_unproven(number, 'call-1'))
@@ -145,7 +148,7 @@
     assert not suspects.quarantined
 
 
-def test_a_crash_that_is_proven_later_counts_once():
+def test_a_crash_that_is_proven_later_counts_only_once():
     suspects = Suspects()
     for number in range(3):
         crash = make_unproven(number, f'call-{number}')
@@ -158,19 +161,20 @@
     assert suspects.is_proven('bad')
 
 
-def test_endpoints_that_are_heard_again_have_not_crashed():
+def test_endpoints_that_send_heartbeats_again_have_not_crashed():
     crashes = [('good', f'e{number}', 50) for number in range(3)]
     suspects = make_suspects(*crashes)
     assert suspects.find_crash_ms('e1') == NOW_MS
     suspects.rule_out('e1', NOW_MS + 1000)
     suspects.judge(NOW_MS + 1000)
     assert not suspects.quarantined
-    # What other hosts still tell of it is not taken up; a later crash is.
+    # Late reports of this crash from other hosts are ignored; a later crash
+    # is not.
     assert not suspects.note_crash('good', Crash('e1', NOW_MS, 50))
     assert suspects.note_crash('good', Crash('e1', NOW_MS + 2000, 50))
 
 
-def test_a_quarantine_ends_and_one_crash_begins_it_anew():
+def test_a_quarantine_ends_and_one_more_crash_restarts_it():
     crashes = [('bad', f'e{number}', 50) for number in range(3)]
     suspects = make_suspects(*crashes)
     after_ms = NOW_MS + suspects.settings.hold_ms
@@ -181,13 +185,13 @@
     assert 'bad' in suspects.quarantined
 
 
-def test_a_request_that_does_not_come_again_is_forgotten():
+def test_a_request_without_further_crashes_is_forgotten():
     suspects = make_suspects(('once', 'e0', 50))
     suspects.judge(NOW_MS + suspects.settings.keep_ms + 1)
     assert not suspects.suspects
 
 
-def test_what_is_remembered_is_bounded_and_the_worst_stay():
+def test_the_number_of_suspects_is_bounded_and_the_worst_are_kept():
     limits = QuarantineSettings(max_suspects=16, max_crashes=4)
     suspects = Suspects(limits)
     for number in range(9):
@@ -201,7 +205,7 @@
     assert 'bad' in suspects.quarantined
 
 
-TOLD = st.lists(
+EVENTS = st.lists(
     st.one_of(
         st.tuples(
             st.sampled_from('abcd'),
@@ -214,10 +218,14 @@
 )
 
 
-def take_all(told):
-    """Return what is quarantined once all of it is known."""
+def quarantine_all(events):
+    """Return what is quarantined after a list of events.
+
+    :param events: tuples of fingerprint, endpoint number (``None`` for an
+        answer) and time offset in milliseconds.
+    """
     suspects = Suspects()
-    for fingerprint, endpoint, at_ms in told:
+    for fingerprint, endpoint, at_ms in events:
         if endpoint is None:
             suspects.note_answered(fingerprint, NOW_MS + at_ms)
         else:
@@ -228,19 +236,19 @@
 
 
 @settings(deadline=None)
-@given(told=TOLD, seed=st.randoms())
-def test_hosts_that_know_the_same_crashes_quarantine_the_same(told, seed):
-    crashes = [item for item in told if item[1] is not None]
+@given(events=EVENTS, seed=st.randoms())
+def test_the_quarantine_does_not_depend_on_order_or_repetition(events, seed):
+    crashes = [item for item in events if item[1] is not None]
     mixed = [*crashes, *crashes]
     seed.shuffle(mixed)
-    assert take_all(mixed) == take_all(crashes)
+    assert quarantine_all(mixed) == quarantine_all(crashes)
 
 
 @settings(deadline=None)
-@given(told=TOLD)
-def test_suspects_pass_unchanged_between_hosts(told):
+@given(events=EVENTS)
+def test_suspects_are_unchanged_by_encoding_and_decoding(events):
     suspects = Suspects()
-    for fingerprint, endpoint, at_ms in told:
+    for fingerprint, endpoint, at_ms in events:
         crash = Crash(f'e{endpoint}', NOW_MS + at_ms, 50, at_ms % 2 == 0)
         suspects.note_crash(fingerprint, crash)
     aged = tuple(
@@ -255,7 +263,7 @@
         assert suspect.to_times(NOW_MS + 5000) == known
 
 
-def test_a_malformed_suspect_is_left_aside():
+def test_a_malformed_suspect_raises_a_wire_format_error():
     for data in (b'', b'x', b'\x83\x01\x02\x03', b'\x83aaaa\xf6\x80'):
         with pytest.raises(exceptions.WireFormatError):
             quarantinelog.decode('f', data)
@@ -269,24 +277,24 @@
         'all of them crash at once',
     ],
 )
-def test_good_calls_are_refused_because_endpoints_crash(name):
+def test_good_calls_are_not_refused_when_endpoints_crash(name):
     for seed in range(3):
         counts = Play(LOADS[name], seed).run(SECONDS)
         assert counts.good > 1000
         assert counts.refused == 0
 
 
-def test_requests_that_crash_endpoints_are_stopped_and_others_go_on():
+def test_requests_that_crash_endpoints_are_stopped_and_others_are_not():
     for seed in range(3):
         counts = Play(LOADS['three requests crash them'], seed).run(SECONDS)
         assert len(counts.crashes) == 3
-        # One or two more may be on their way when the third crash is known.
+        # One or two more may be in flight when the third crash is detected.
         assert max(counts.crashes.values()) <= 5
         assert counts.refused * 1000 <= counts.good
 
 
 def make_known(count):
-    """Return suspects as other hosts tell them, each with three crashes."""
+    """Return suspects with three crashes each, as other hosts send them."""
     now = Clock().now()
     known = []
     for number in range(count):
@@ -296,7 +304,7 @@
     return known
 
 
-def test_what_hosts_tell_each_other_is_bounded():
+def test_the_number_of_suspects_sent_is_bounded():
     quarantine = Quarantine(Clock())
     quarantine.merge(make_known(1000), 'host-2', forward=True)
     assert len(quarantine.collect_updates()) <= quarantine_module.MAX_SENT
@@ -304,14 +312,14 @@
     assert not quarantine.collect_updates()
 
 
-def test_hosts_that_tell_all_others_do_not_pass_on_what_they_hear():
+def test_received_suspects_are_not_sent_on_unless_forwarded():
     quarantine = Quarantine(Clock())
     quarantine.merge(make_known(3), 'host-2', forward=False)
     assert len(quarantine.known.quarantined) == 3
     assert not quarantine.collect_updates()
 
 
-def test_good_requests_of_the_same_customer_go_on_beside_the_quarantine():
+def test_other_requests_of_the_same_customer_are_not_refused():
     async def main():
         async with run_crashing_site() as site:
             await send_often(site, '/once/x', 4)
--- a/tests/test_quota_cost.py
+++ b/tests/test_quota_cost.py
@@ -1,4 +1,4 @@
-"""What quotas cost a host of a large fleet."""
+"""CPU cost of quota enforcement on a host of a large fleet."""
 
 import pytest
 
@@ -16,7 +16,7 @@
 
 
 def make_large_fleet_host():
-    """Return the shared objects of one of many hosts."""
+    """Return the :class:`HostContext` of one host of a large fleet."""
     host = make_host_context()
     configure(host, tenants=[make_tenant(name) for name in CUSTOMERS])
     for number in range(HOSTS):
@@ -26,7 +26,10 @@
 
 
 def count_calls(monkeypatch, host, name):
-    """Have the calls of a method of the host's members counted."""
+    """Count the calls of a method of the host's :class:`Members`.
+
+    :returns: a list that grows by one item with each call.
+    """
     calls = []
     method = getattr(host.members, name)
     monkeypatch.setattr(
@@ -35,8 +38,8 @@
     return calls
 
 
-def test_a_host_that_has_heard_all_keeps_its_part_of_the_limits():
-    """Also while it hears some of them through another hub."""
+def test_a_host_that_has_heard_all_hosts_keeps_its_full_share():
+    """It keeps the share even while reports arrive through another hub."""
     host = make_large_fleet_host()
     now = host.clock.now()
     host.quotas.started_ms = now - 1000
@@ -49,23 +52,23 @@
 
 
 def put_report(host):
-    """Take another host's report of all customers."""
+    """Apply a report of another host about all customers."""
     admitted = {name: AdmittedUnits(100.0, 10.0) for name in CUSTOMERS}
     host.quotas.put_report(RUN, admitted)
 
 
 @pytest.mark.parametrize(
-    ('age_ms', 'most'), [(1000, 1), (quota.START_MS + 1, 0)]
+    ('age_ms', 'max_counts'), [(1000, 1), (quota.START_MS + 1, 0)]
 )
-def test_a_report_has_the_hosts_counted_once_at_the_most(
-    monkeypatch, age_ms, most
+def test_a_report_counts_the_hosts_at_most_once(
+    monkeypatch, age_ms, max_counts
 ):
-    """Reports of all hosts come several times a second."""
+    """Each host receives reports of all hosts several times a second."""
     host = make_large_fleet_host()
     host.quotas.started_ms = host.clock.now() - age_ms
     counted = count_calls(monkeypatch, host, 'count_heard')
     listed = count_calls(monkeypatch, host, 'others')
     put_report(host)
     assert len(host.quotas.buckets) == len(CUSTOMERS)
-    assert len(counted) <= most
+    assert len(counted) <= max_counts
     assert not listed
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -1,20 +1,16 @@
-"""A holder of the duties' lease that loses the store is succeeded.
-
-In a large fleet too few endpoints served for seconds: two zones' cheap
-endpoints were taken away, and nobody ordered others.  The holder of the
-lease was one of the hosts that the store turned away from 2.5 s on; no other
-host took the lease in the 9 s until the store answered it again.
-
-     2.37 front-jaboatao-2 endpoints ordered count=4
-     3.13 front-jaboatao-2 lease: the store said 503
-    11.73 front-jaboatao-2 endpoints ordered count=29 before=5
-
-Hubs told each other of the lease, and each took what came back for news, so
-that its notice never grew old: 20 s after a holder had lost the store all
-hosts still had heard of it within the last 0.2 s.  With notices that keep
-their age a successor came after 6.8 s, since it began only then to look for
-how long the lease's log had stood still, though the last notice had told
-where it ends.  It now takes 4.0 s.
+"""Takeover of the duties when the lease holder loses the store.
+
+Guards against a large fleet without a working lease holder: the reclaimable
+endpoints of two zones were reclaimed, the store refused the holder's calls
+with 503, and no other host claimed the lease in the 9 s until the store
+answered the holder again, so no replacements were ordered.
+
+Two faults caused it.  Hubs echoed lease notices to each other as if they were
+new, so a notice never aged: 20 s after the holder had lost the store, all
+hosts had still heard of it within the last 0.2 s.  And a successor started to
+measure how long the lease log had been unchanged only when the holder timed
+out, although the last notice had told the log's end; with aging notices alone,
+takeover took 6.8 s.  With both mended it takes 4.0 s.
 """
 
 import asyncio
@@ -25,13 +21,13 @@
 from tests.test_topology import find_hubs
 from tests.test_topology import play_with_hubs
 
-# What a successor may need beyond the time for which the log must stand
-# still: reports through two hubs, a tick, and calls to the store.
-NEWS_MS = 1500
+# Time a successor may take in addition to the period for which the log must be
+# unchanged: reports through two hubs, one tick, and calls to the store.
+TAKEOVER_MARGIN_MS = 1500
 
 
 def cut_from_store(daemon):
-    """Have a host's calls to the store fail from now on."""
+    """Make a host's calls to the store fail from now on."""
     daemon.store.pool.address = '127.0.0.1:9'
     daemon.store.pool.close()
     for connection in list(daemon.store.pool.fetching):
@@ -39,40 +35,34 @@
 
 
 def find_holder(daemons):
-    """Return the host that holds the lease, or ``None``."""
+    """Return the daemon that holds the lease, or ``None``."""
     return next(filter(Daemon.holds_lease, daemons), None)
 
 
-def test_a_holder_without_the_store_is_succeeded_in_a_fleet_with_hubs(
+def test_a_holder_that_loses_the_store_is_replaced_in_a_fleet_with_hubs(
     monkeypatch,
 ):
     async def scenario(site, daemons):
         await wait_until(lambda: find_holder(daemons) is not None, 8)
         first = find_holder(daemons)
         others = [daemon for daemon in daemons if daemon is not first]
-        # Let all hosts hear of it.
+        # Wait until all hosts have heard of the holder.
         await asyncio.sleep(1)
         cut_from_store(first)
         begun_ms = first.clock.now()
         await wait_until(lambda: find_holder(others) is not None, 15)
         took_ms = first.clock.since(begun_ms)
-        assert took_ms < lease.QUIET_MS + NEWS_MS
+        assert took_ms < lease.QUIET_MS + TAKEOVER_MARGIN_MS
 
     play_with_hubs(scenario, monkeypatch)
 
 
-def test_a_holder_does_not_pass_on_reports_for_holding_the_lease(monkeypatch):
-    """A successor lost the lease again after 3 s, and so did the next.
+def test_holding_the_lease_does_not_make_a_host_a_hub(monkeypatch):
+    """Guards against successors that lose the lease again within 3 s.
 
-    Hosts told it what they tell their hubs, so it took itself for one and
-    sent all reports to 22 hosts over a link of 10 Mbit/s, until its own
-    calls to the store timed out:
-
-         5.78 front-boa-viagem-23 lease taken
-         6.41 front-boa-viagem-23 role among hosts is_hub=true targets=26
-         8.64 front-boa-viagem-23 lease: /log-append: (timed out)
-        10.74 front-boa-viagem-23 store lost: connect timed out
-        13.31 front-jaboatao-2 lease taken
+    All hosts send the lease holder what they also send to their hubs.  It
+    took itself for a hub and forwarded all reports to 22 hosts over a
+    10 Mbit/s link, until its own calls to the store timed out.
     """
 
     async def scenario(site, daemons):
@@ -81,10 +71,12 @@
         for hub in hubs:
             cut_from_store(hub)
         await wait_until(lambda: find_holder(others) is not None, 15)
-        # Hosts plan their links and roles several times a second.
+        # Hosts recompute links and roles several times a second; let any
+        # wrong hub role show.
         await asyncio.sleep(1.5)
         assert find_holder(others) is not None
         assert find_hubs(daemons) == hubs
 
-    # Two hosts in each zone are no hubs: one holds, the other one tells it.
+    # Two hosts in each zone are not hubs: one of them holds the lease, and
+    # the other one sends it reports.
     play_with_hubs(scenario, monkeypatch, hosts=8)
--- a/tests/test_usage_saving.py
+++ b/tests/test_usage_saving.py
@@ -1,4 +1,4 @@
-"""Usage counts that outlast the hosts that counted them."""
+"""Persistence of usage counts across the loss of hosts."""
 
 import asyncio
 import collections
@@ -28,14 +28,14 @@
 
 
 class StoreEntries:
-    """An in-memory store of usage entries; encodes as the real one does."""
+    """An in-memory replacement for the :class:`StoreClient`."""
 
     def __init__(self):
         self.values = {}
 
     async def newest(self, topic):
         """See :class:`StoreClient`."""
-        records = [Record(*item) for item in self.values.items()]
+        records = [StoreRecord(*item) for item in self.values.items()]
         return records, len(records)
 
     async def put_all(self, topic, pairs):
@@ -47,18 +47,18 @@
                 self.values[key] = value
 
 
-Record = collections.namedtuple('Record', 'key value')
+StoreRecord = collections.namedtuple('StoreRecord', 'key value')
 
 
-class Terms:
-    """Stands for a term of the lease."""
+class FakeTerm:
+    """A term of the lease, reduced to its fencing token."""
 
     def __init__(self, fencing):
         self.fencing = fencing
 
 
 class UsageMachine(RuleBasedStateMachine):
-    """Hosts count, report, save, are killed and succeed each other."""
+    """Hosts count, report, save, get killed and take over the lease."""
 
     def __init__(self):
         super().__init__()
@@ -66,9 +66,9 @@
         self.started = dict.fromkeys(HOSTS, 0)
         self.counted = collections.defaultdict(collections.Counter)
         self.reported = collections.defaultdict(collections.Counter)
-        self.truth = collections.Counter()
+        self.actual = collections.Counter()
         self.lost = collections.Counter()
-        self.agreed = {}
+        self.committed = {}
         self.window = 1
         self.fencing = 0
 
@@ -80,23 +80,23 @@
     def count_calls(self, host, count):
         run = (host, self.started[host])
         self.counted[run][self.window] += count
-        self.truth[self.window] += count
+        self.actual[self.window] += count
 
     @rule(host=st.sampled_from(HOSTS))
     def report(self, host):
-        """A host tells the holder what it has counted."""
+        """A host reports its counts to the lease holder."""
         run = (host, self.started[host])
         counts = {w: {'c': n} for w, n in self.counted[run].items()}
-        self.board.put(*run, counts)
+        self.table.put(*run, counts)
         self.reported[run] = collections.Counter(self.counted[run])
 
     @rule()
     def save(self):
-        asyncio.run(self.saving.save(max(self.agreed, default=0) + 1))
+        asyncio.run(self.saver.save(max(self.committed, default=0) + 1))
 
     @rule(names=st.sets(st.sampled_from(HOSTS), min_size=1))
     def kill(self, names):
-        """Hosts end; what they had not reported is lost."""
+        """Hosts are killed; what they had not reported is lost."""
         for name in names:
             run = (name, self.started[name])
             for window, count in self.counted[run].items():
@@ -105,56 +105,56 @@
 
     @rule()
     def succeed(self):
-        """Another host takes the lease; it has heard of nobody yet."""
-        self.board = UsageTable()
-        self.saving = UsageSaver(self.board, self.log)
+        """Another host takes the lease and starts with an empty table."""
+        self.table = UsageTable()
+        self.saver = UsageSaver(self.table, self.log)
         self.fencing += 1
-        asyncio.run(self.saving.restore(Terms(self.fencing)))
+        asyncio.run(self.saver.restore(FakeTerm(self.fencing)))
         for name in HOSTS:
             self.report(name)
 
     @rule()
-    def lose_all(self):
-        """All hosts end at once, just after the holder has saved."""
+    def fail_all_hosts(self):
+        """All hosts are killed at once, just after a save."""
         self.save()
         self.kill(set(HOSTS))
         self.succeed()
 
     @rule()
-    def agree(self):
-        """The window has ended, and all hosts have reported."""
+    def commit(self):
+        """The window ends after all hosts have reported."""
         for name in HOSTS:
             self.report(name)
-        total = self.board.total(self.window).get('c', 0)
-        self.agreed[self.window] = total
+        total = self.table.total(self.window).get('c', 0)
+        self.committed[self.window] = total
         self.window += 1
 
     @invariant()
     def nothing_is_counted_twice(self):
-        for window, total in self.agreed.items():
-            assert total <= self.truth[window]
+        for window, total in self.committed.items():
+            assert total <= self.actual[window]
 
     @invariant()
-    def a_board_never_exceeds_the_truth(self):
-        for window in list(self.board.windows):
-            total = self.board.total(window).get('c', 0)
-            assert total <= self.truth[window]
+    def the_table_never_exceeds_the_actual_counts(self):
+        for window in list(self.table.windows):
+            total = self.table.total(window).get('c', 0)
+            assert total <= self.actual[window]
 
 
 class UsageWithoutSuccession(UsageMachine):
-    """All that was saved or reported is agreed, whoever was killed."""
+    """All counts saved or reported are committed, whoever is killed."""
 
     @rule()
     def succeed(self):
-        """Succeed after the former holder has saved all that it knew."""
+        """Take over after the former holder has saved all counts."""
         if self.fencing:
             self.save()
         super().succeed()
 
     @invariant()
     def only_what_was_not_reported_is_lost(self):
-        for window, total in self.agreed.items():
-            assert total >= self.truth[window] - self.lost[window]
+        for window, total in self.committed.items():
+            assert total >= self.actual[window] - self.lost[window]
 
 
 TestUsage = UsageMachine.TestCase
@@ -163,23 +163,23 @@
     case.settings = settings(max_examples=60, stateful_step_count=30)
 
 
-def test_counts_of_runs_that_are_reported_leave_the_store():
+def test_counts_are_removed_from_the_store_once_reported():
     async def main():
         log = usagelog.UsageLog(StoreEntries())
-        board = UsageTable()
-        saving = UsageSaver(board, log)
-        await saving.restore(Terms(1))
-        board.put('h', 1, {4: {'c': 2}})
-        await saving.save(4)
+        table = UsageTable()
+        saver = UsageSaver(table, log)
+        await saver.restore(FakeTerm(1))
+        table.put('h', 1, {4: {'c': 2}})
+        await saver.save(4)
         assert await log.read()
-        await saving.save(5)
+        await saver.save(5)
         assert await log.read() == []
 
     asyncio.run(main())
 
 
-def test_what_was_counted_before_all_hosts_ended_is_reported():
-    """The first holder after the loss reports it."""
+def test_counts_from_before_the_loss_of_all_hosts_are_reported():
+    """The first holder after the loss reports them."""
 
     async def main():
         async with run_site(make_config(), PLAIN, hosts=3) as site:
@@ -187,7 +187,7 @@
             for number in range(9):
                 host = list(site.hosts.values())[number % 3]
                 await call(host, '/once/', f'a{number}')
-            # Reports take a round, and saving as long again.
+            # Wait for a round of reports and for a save.
             await asyncio.sleep(0.5)
             reported = count_usage(site)
             for name in list(site.hosts):
@@ -200,8 +200,8 @@
     asyncio.run(main())
 
 
-def test_a_slow_platform_keeps_neither_lease_nor_orders():
-    """Its API takes half a second to answer; orders are for many zones."""
+def test_a_slow_platform_blocks_neither_the_lease_nor_orders():
+    """Its API takes 0.5 s per call, and orders go to many zones."""
 
     async def main():
         config = make_config()
@@ -235,10 +235,11 @@
     asyncio.run(main())
 
 
-def test_a_log_that_was_deleted_has_not_stood_still():
-    """A host claimed the lease beside its holder (soak, seed 31203403).
+def test_a_log_with_deleted_records_does_not_count_as_unchanged():
+    """Guards against two holders at once (found by the soak, seed 31203403).
 
-    It had read the log 4 s before; the holder's records were deleted since.
+    A host had read the log 4 s before, the holder's later records were
+    deleted unread, and the host claimed the lease.
     """
     view = lease.LeaseView('h2/1')
     view.note_end(8, 1000)
@@ -249,7 +250,7 @@
     assert view.may_claim(6000 + lease.QUIET_MS)
 
 
-def test_windows_that_may_have_been_reported_are_not_agreed_again():
+def test_windows_that_may_have_been_reported_are_not_committed_again():
     async def main():
         async with run_site(make_config(), PLAIN) as site:
             (host,) = site.hosts.values()
@@ -266,8 +267,8 @@
     asyncio.run(main())
 
 
-def test_a_record_is_not_written_behind_records_that_came_meanwhile():
-    """Two duties write at once; the second one decided on an older log."""
+def test_a_record_based_on_an_outdated_log_is_not_written():
+    """Two duties write at once; the second decided on an older log."""
 
     async def main():
         async with run_site(make_config(), PLAIN) as site:
