--- a/pearrun/shared/counters.py
+++ b/pearrun/shared/counters.py
@@ -30,13 +30,8 @@
         self.repeats += max(0, len(trace.tries) - 1)
         route = trace.call.route.name
         if trace.first_event_ms is not None:
-            record(
-                self._get_histogram(self.first_byte, route),
-                trace.first_event_ms,
-            )
-        record(
-            self._get_histogram(self.response, route), now_ms - trace.begun_ms
-        )
+            record(self._find(self.first_byte, route), trace.first_event_ms)
+        record(self._find(self.response, route), now_ms - trace.begun_ms)
 
     def render(self, gauges, store_calls=()):
         """Return all metrics as text, one per line.
@@ -59,7 +54,8 @@
         lines.extend(render_histograms('answer_ms', self.response))
         return '\n'.join(lines) + '\n'
 
-    def _get_histogram(self, table, route):
+    def _find(self, table, route):
+        """Return the histogram of a route, creating it if necessary."""
         if route not in table:
             table[route] = new_histogram()
         return table[route]
--- a/pearrun/shared/crashdetector.py
+++ b/pearrun/shared/crashdetector.py
@@ -1,8 +1,8 @@
 """Detects endpoint crashes and the calls that were in flight there.
 
 Load pattern: a connection breaks because the endpoint crashes, because it
-sends a broken response but keeps running, because it shuts down as announced, or
-because of a network partition, which can look like a crash of all endpoints
+sends a broken response but keeps running, because it shuts down as announced,
+or because of a network partition, which can look like a crash of all endpoints
 on the other side.  An endpoint counts as crashed if its address refuses
 connections and its heartbeats at the platform have stopped as well.  While
 the endpoint list cannot be read, heartbeats are not available, and only for
--- a/pearrun/shared/usagetable.py
+++ b/pearrun/shared/usagetable.py
@@ -42,7 +42,7 @@
         return changed
 
     def mark_changed(self, runs):
-        """Mark runs as changed again, after saving them failed."""
+        """Mark runs as changed, so that they are saved next time."""
         self._changed |= runs
 
     def list_runs(self):
