--- a/pearrun/platform/endpointlist.py
+++ b/pearrun/platform/endpointlist.py
@@ -68,7 +68,7 @@
     def apply_snapshot(self, records, read_start_ms):
         """See :class:`Follower`."""
         listed = {record.key for record in records}
-        self.host.crashes.note_missed()
+        self.host.crashes.restart_proofs()
         for record in records:
             self._handle_put(record)
         for endpoint in list(self.host.fleet.endpoints.values()):
@@ -92,7 +92,7 @@
     def _record_list_read(self, read_start_ms):
         fleet = self.host.fleet
         fleet.listed_ms = max(fleet.listed_ms or 0, read_start_ms)
-        self.host.config.confirm_alive(self.host.clock.now())
+        self.host.config.confirm_while_polling(self.host.clock.now())
 
     def _handle_put(self, record):
         entry = self.decode_or_skip(
--- a/pearrun/platform/quarantinelog.py
+++ b/pearrun/platform/quarantinelog.py
@@ -69,7 +69,7 @@
         # Monotonic clocks of hosts are not comparable; stored times are
         # wall-clock times.
         dated = suspect.to_clock(self.host.time.wall(), self.host.clock.now())
-        self.quarantine.merge([dated], 'store', pass_on=True)
+        self.quarantine.merge([dated], 'store', forward=True)
 
     def _handle_removal(self, key):
         self.stored_keys.discard(key)
--- a/pearrun/shared/ownreports.py
+++ b/pearrun/shared/ownreports.py
@@ -13,8 +13,8 @@
 
 from pearrun.decisions.demand import Demand
 from pearrun.shared.loads import Load
-from pearrun.shared.quotas import Admitted
-from pearrun.shared.quotas import NOTHING
+from pearrun.shared.quotas import AdmittedUnits
+from pearrun.shared.quotas import NO_UNITS
 
 # Own reports kept for sums that cover an older one: several times the number
 # of rounds from sending a report to receiving a sum that covers it.
@@ -87,12 +87,12 @@
 def subtract_admitted(use, name, first, last):
     """Subtract what this host admitted between two of its reports.
 
-    :param use: the hub's :class:`Admitted` for one customer.
+    :param use: the hub's :class:`AdmittedUnits` for one customer.
     :param name: the customer.
     """
-    before = first.admitted.get(name, NOTHING)
-    own = last.admitted.get(name, NOTHING)
-    return Admitted(
+    before = first.admitted.get(name, NO_UNITS)
+    own = last.admitted.get(name, NO_UNITS)
+    return AdmittedUnits(
         use.total - (own.total - before.total), max(0.0, use.rate - own.rate)
     )
 
--- a/pearrun/shared/reporter.py
+++ b/pearrun/shared/reporter.py
@@ -189,7 +189,7 @@
         """Return the :class:`Round` with this host's current state."""
         host = self.host
         self.number += 1
-        admitted = host.quotas.report()
+        admitted = host.quotas.collect_totals()
         placed = host.selection.take_placements()
         own = self._make_report(
             self.own_run,
@@ -210,7 +210,7 @@
         zone_reports, sums = self.receiver.take_unforwarded()
         ended = self.receiver.take_ended()
         zone_placed = self.receiver.take_zone_placements()
-        suspects_due = host.quarantine.take_told()
+        suspects_due = host.quarantine.collect_updates()
         suspects = self._encode_suspects(suspects_due)
         if self.plan is None or not self.plan.is_hub:
             return Round(reports.encode(own), usage, feeds, suspects)
@@ -244,7 +244,7 @@
 
     def encode_initial(self):
         """Return the encoded messages that a new link carries first."""
-        return self._encode_suspects(self.host.quarantine.list_known())
+        return self._encode_suspects(self.host.quarantine.take_snapshot())
 
     def _encode_suspects(self, suspects):
         """Return the encoded :class:`SuspectNote` in a tuple, if any."""
--- a/pearrun/shared/reportreceiver.py
+++ b/pearrun/shared/reportreceiver.py
@@ -256,7 +256,7 @@
         self.host.quarantine.merge(
             [suspect.to_times(now) for suspect in suspects],
             name,
-            pass_on=self.host.feed.through_hubs,
+            forward=self.host.feed.through_hubs,
         )
 
     def _apply_config(self, name, raw):
--- a/tests/test_ownreports.py
+++ b/tests/test_ownreports.py
@@ -13,7 +13,7 @@
 from pearrun.shared.ownreports import MAX_REPORTS
 from pearrun.shared.ownreports import OwnReports
 from pearrun.shared.prompts import PromptPlacement
-from pearrun.shared.quotas import Admitted
+from pearrun.shared.quotas import AdmittedUnits
 from pearrun.shared.reporter import Reporter
 from pearrun.shared.reportreceiver import ReportReceiver
 from pearrun.shared.run import Run
@@ -80,12 +80,16 @@
         others_total += others
         kept[number] = own_total
         own_reports.add(
-            make_report(OWN, number, admitted={'c': Admitted(own_total, 0.0)})
+            make_report(
+                OWN, number, admitted={'c': AdmittedUnits(own_total, 0.0)}
+            )
         )
         covered = number - lag if number - lag >= first else None
         included = kept[covered] - kept[first] if covered else 0.0
         sums = make_report(
-            HUB, number, admitted={'c': Admitted(others_total + included, 0.0)}
+            HUB,
+            number,
+            admitted={'c': AdmittedUnits(others_total + included, 0.0)},
         )
         left = own_reports.subtract_from(sums, covered).admitted['c'].total
         seen.append((others_total, left))
@@ -99,9 +103,11 @@
     own_reports = OwnReports()
     own_reports.add(make_report(OWN, 1))
     own_reports.subtract_from(make_report(HUB, 1), 1)
-    own_reports.add(make_report(OWN, 2, admitted={'c': Admitted(500.0, 9.0)}))
-    sums = make_report(HUB, 2, admitted={'c': Admitted(800.0, 12.0)})
-    assert own_reports.subtract_from(sums, 2).admitted['c'] == Admitted(
+    own_reports.add(
+        make_report(OWN, 2, admitted={'c': AdmittedUnits(500.0, 9.0)})
+    )
+    sums = make_report(HUB, 2, admitted={'c': AdmittedUnits(800.0, 12.0)})
+    assert own_reports.subtract_from(sums, 2).admitted['c'] == AdmittedUnits(
         300.0, 3.0
     )
     assert own_reports.subtract_from(sums, None).admitted['c'].total == 300.0
@@ -144,7 +150,7 @@
             run,
             number,
             loads={endpoint_id: Load(3, 2000) for endpoint_id in chosen},
-            admitted={name: Admitted(1e5, 500.0) for name in CUSTOMERS},
+            admitted={name: AdmittedUnits(1e5, 500.0) for name in CUSTOMERS},
             placed=(PromptPlacement(chosen[0], ('aa', 'bb')),),
         )
     )
