--- a/benchmarks/relay.py
+++ b/benchmarks/relay.py
@@ -27,7 +27,9 @@
 from pearrun.standins.platformsite import STREAM_HOST
 
 FLAGS = flags.FLAGS
-POOL = PoolSettings(max_connections=16, connect_ms=1000, silence_ms=5000)
+POOL = PoolSettings(
+    max_connections=16, connect_timeout_ms=1000, user_timeout_ms=5000
+)
 # Loopback addresses of the stand-in site.
 HOST_FRONT = f'127.0.1.1:{FIRST_PORT + 20}'
 HOST_READY = f'127.0.1.1:{FIRST_PORT + 21}'
--- a/pearrun/api/dispatcher.py
+++ b/pearrun/api/dispatcher.py
@@ -144,7 +144,7 @@
         :returns: the :class:`Job`.
         :raises CapacityError: it could not be journaled.
         """
-        counters = self.metrics.of(job.service)
+        counters = self.metrics.get_or_create(job.service)
         try:
             await self.journal_acceptance(job)
         except exceptions.PearrunError:
@@ -184,7 +184,7 @@
             raise exceptions.JournalUnavailableError(
                 'the log service is behind', retry_after_s=1
             )
-        self.metrics.of(job.service).accepted += 1
+        self.metrics.get_or_create(job.service).accepted += 1
         self.start(job, service)
         landed = self.journal.enqueue(describe_acceptance(job))
         landed.add_done_callback(lambda done: note_landing(job, done))
@@ -218,7 +218,7 @@
             job.endpoint = progress.endpoint
             job.saved = len(job.tokens)
         job.durable = True
-        self.metrics.of(job.service).adopted += 1
+        self.metrics.get_or_create(job.service).adopted += 1
         service = self.config.tree.find_service(job.service)
         if service is None:
             self.jobs[job.id] = job
--- a/pearrun/api/runner.py
+++ b/pearrun/api/runner.py
@@ -84,14 +84,14 @@
 
     async def fail(self, job, failure):
         """Publish a job's failure."""
-        self.metrics.of(job.service).failed += 1
+        self.metrics.get_or_create(job.service).failed += 1
         await job.publish(state=RequestState.FAILED, failure=failure)
         logger.warning('request failed', code=failure.code, **job.labels())
 
     async def finish(self, job, finish_reason):
         """Publish that a job has its whole answer."""
         await job.publish(state=RequestState.DONE, finish_reason=finish_reason)
-        counters = self.metrics.of(job.service)
+        counters = self.metrics.get_or_create(job.service)
         counters.done += 1
         self.crashes.note_answered(job)
         counters.tokens += len(job.tokens)
@@ -123,7 +123,7 @@
             itself; no other engine would take it.
         :raises CrashedEndpointsError: endpoints crash under it.
         """
-        counters = self.metrics.of(job.service)
+        counters = self.metrics.get_or_create(job.service)
         tried = set()
         backoff = Backoff()
         refuge = await self.revisit(job, service)
@@ -211,7 +211,7 @@
             ``None`` for its first.
         """
         now = self.clock.now()
-        counters = self.metrics.of(job.service)
+        counters = self.metrics.get_or_create(job.service)
         if last_ms is not None:
             metrics_module.record(counters.itl, now - last_ms)
             job.note_gap(now - last_ms)
--- a/pearrun/backoff.py
+++ b/pearrun/backoff.py
@@ -17,12 +17,12 @@
 
     base_ms: int = 20
     cap_ms: int = 1000
-    tries: int = 0
+    attempts: int = 0
 
     def next_ms(self):
         """Return the next pause in milliseconds, and count a try."""
-        ceiling = min(self.cap_ms, self.base_ms * 2 ** min(self.tries, 16))
-        self.tries += 1
+        ceiling = min(self.cap_ms, self.base_ms * 2 ** min(self.attempts, 16))
+        self.attempts += 1
         return random.uniform(ceiling / 2, ceiling)
 
     async def pause(self):
--- a/pearrun/exceptions.py
+++ b/pearrun/exceptions.py
@@ -268,7 +268,7 @@
         self.silent = silent
 
 
-def is_silence(error):
+def is_peer_silent(error):
     """Say whether an error means that nothing answered on a connection.
 
     :param error: what ended a request: an exception.
--- a/pearrun/http1/__init__.py
+++ b/pearrun/http1/__init__.py
@@ -1,5 +1,5 @@
 """HTTP/1.1 connections on asyncio, parsed and framed by h11.
 
-``server`` takes callers' requests, ``client`` sends requests to
+``server`` receives callers' requests, ``client`` sends requests to
 endpoints and to the platform, ``pool`` keeps idle client connections.
 """
--- a/pearrun/http1/channel.py
+++ b/pearrun/http1/channel.py
@@ -1,4 +1,4 @@
-"""Bytes between a transport and an h11 state, for either side."""
+"""Transfers bytes between a transport and h11, for client and server."""
 
 import asyncio
 
@@ -6,21 +6,21 @@
 
 
 class Channel(asyncio.Protocol):
-    """Keeps what was received until it is asked for.
+    """Buffers received bytes until they are passed to the parser.
 
-    Reading pauses while too much waits, so that a peer that sends faster
-    than it is read costs no memory.  Subclasses set ``state``, the h11
-    connection that received bytes go to.
+    Reading from the transport pauses while the buffer is full, which
+    bounds the memory used for a peer that sends too fast.  Subclasses set
+    ``state``, the :class:`h11.Connection` that parses received bytes.
 
-    :param buffer_bytes: unread bytes beyond which reading pauses.
+    :param buffer_bytes: buffered bytes beyond which reading pauses.
     """
 
     def __init__(self, buffer_bytes):
         self.buffer_bytes = buffer_bytes
         self.transport = None
         self.state = None
-        self._inbox = []
-        self._inbox_bytes = 0
+        self._received = []
+        self._received_bytes = 0
         self._waiter = None
         self._paused = False
         self._writable = asyncio.Event()
@@ -32,9 +32,9 @@
         self.transport = transport
 
     def data_received(self, data):
-        self._inbox.append(data)
-        self._inbox_bytes += len(data)
-        if self._inbox_bytes > self.buffer_bytes and not self._paused:
+        self._received.append(data)
+        self._received_bytes += len(data)
+        if self._received_bytes > self.buffer_bytes and not self._paused:
             self._paused = True
             self.transport.pause_reading()
         self._wake()
@@ -49,30 +49,30 @@
 
     @property
     def has_unread(self):
-        """Whether bytes were received that nobody has asked for."""
-        return bool(self._inbox)
-
-    def feed(self):
-        """Hand everything received to the h11 state."""
-        if self._inbox:
-            data = b''.join(self._inbox)
-            self.drop_unread()
+        """Whether received bytes are waiting to be parsed."""
+        return bool(self._received)
+
+    def feed_parser(self):
+        """Pass all buffered bytes to h11."""
+        if self._received:
+            data = b''.join(self._received)
+            self.discard_unread()
             self.state.receive_data(data)
 
-    def drop_unread(self):
-        """Forget what was received, and go on reading."""
-        self._inbox.clear()
-        self._inbox_bytes = 0
+    def discard_unread(self):
+        """Discard buffered bytes and resume reading."""
+        self._received.clear()
+        self._received_bytes = 0
         if self._paused and not self.transport.is_closing():
             self._paused = False
             self.transport.resume_reading()
 
     async def wait_for_bytes(self, timeout_ms=None):
-        """Wait until something is received, or the connection changes.
+        """Wait until bytes are received or the connection ends.
 
-        :raises TimeoutError: nothing came within ``timeout_ms``.
+        :raises TimeoutError: no bytes arrived within ``timeout_ms``.
         """
-        if self._inbox:
+        if self._received:
             return
         self._waiter = asyncio.get_running_loop().create_future()
         delay = None if timeout_ms is None else to_seconds(timeout_ms)
@@ -83,7 +83,7 @@
             self._waiter = None
 
     async def wait_until_writable(self):
-        """Wait while the peer takes bytes too slowly."""
+        """Wait while the transport's write buffer is full."""
         await self._writable.wait()
 
     def _wake(self):
--- a/pearrun/http1/client.py
+++ b/pearrun/http1/client.py
@@ -1,10 +1,10 @@
 """Client side of one HTTP/1.1 connection.
 
 h11 parses and frames; this module moves bytes between h11 and the
-transport.  aiohttp's client is not used here: it repeats requests by
-itself when a kept connection breaks, which would run a non-idempotent
-request twice, and it cannot read a second response on a connection
-after a stray one.
+transport.  aiohttp's client is not used here: it retries requests by
+itself when a keep-alive connection breaks, which would run a
+non-idempotent request twice, and it cannot read the expected response
+after one that belongs to another request.
 """
 
 import asyncio
@@ -19,16 +19,16 @@
 from pearrun.http1.messages import Response
 from pearrun.http1.messages import ResponseHead
 
-# Bytes kept unread before the peer is made to wait; a stream's event is
-# some hundred bytes, so this holds seconds of a stream.
+# Buffered bytes beyond which reading pauses.  A stream's event has a few
+# hundred bytes, so this holds seconds of a stream.
 READ_BUFFER_BYTES = 256 * 1024
-# Largest response head accepted from an endpoint or the platform.
+# Largest response head that is accepted from an endpoint or the platform.
 MAX_HEAD_BYTES = 64 * 1024
-# An endpoint names the idle time after which it closes a connection in
-# whole seconds; reuse stops this long before, so that a request does
-# not cross the close.
+# Keep-Alive gives an endpoint's idle timeout in whole seconds.  Reuse of a
+# connection stops this long before it, so that a request is not sent while
+# the endpoint closes the connection.
 IDLE_MARGIN_MS = 400
-# Idle time assumed where the endpoint names none.
+# Idle timeout assumed when the response has no Keep-Alive header.
 DEFAULT_IDLE_MS = 4000
 
 
@@ -36,12 +36,12 @@
 
 
 class ClientConnection(Channel):
-    """A connection that carries one request at a time."""
+    """A client connection that carries one request at a time."""
 
     def __init__(self):
         super().__init__(READ_BUFFER_BYTES)
-        self.broken = None
-        self.ended = False
+        self.error = None
+        self.closed = False
         self.idle_since_ms = CLOCK.now()
         self.idle_limit_ms = DEFAULT_IDLE_MS
         self.in_use = False
@@ -52,18 +52,18 @@
     def data_received(self, data):
         super().data_received(data)
         if not self.in_use:
-            # No request waits: these bytes belong to none.
+            # No request is in progress, so these bytes are unexpected.
             self.abort()
 
     def eof_received(self):
-        self.ended = True
+        self.closed = True
         self._wake()
         return False
 
     def connection_lost(self, exc):
-        if exc is not None or not self.ended:
-            self.broken = exc or ConnectionResetError('connection closed')
-        self.ended = True
+        if exc is not None or not self.closed:
+            self.error = exc or ConnectionResetError('connection closed')
+        self.closed = True
         self._writable.set()
         self._wake()
 
@@ -72,11 +72,11 @@
     def send(self, method, target, headers, body=b''):
         """Write one request.
 
-        :param headers: pairs of bytes; framing headers included.
+        :param headers: pairs of bytes, including framing headers.
         :raises EndpointUnreachableError: the connection was closed
             before anything was written.
         """
-        if self.ended or self.transport.is_closing():
+        if self.closed or self.transport.is_closing():
             raise exceptions.EndpointUnreachableError('connection closed')
         self.in_use = True
         request = h11.Request(method=method, target=target, headers=headers)
@@ -90,7 +90,7 @@
         """Read a response's status and headers.
 
         :returns: a :class:`ResponseHead`.
-        :raises ConnectionBrokenError: the response did not come.
+        :raises ConnectionBrokenError: the connection ended before it.
         """
         while True:
             event = await self._next_event()
@@ -102,10 +102,10 @@
                         event.status_code,
                         list(event.headers.raw_items()),
                     )
-            raise exceptions.ConnectionBrokenError('no response')
+            raise exceptions.ConnectionBrokenError('no response head received')
 
     async def read_chunk(self):
-        """Read some of a response's body.
+        """Read the next part of a response's body.
 
         :returns: bytes; ``None`` at the end of a complete body.
         :raises ConnectionBrokenError: the body ended early.
@@ -121,8 +121,9 @@
     async def read_body(self, limit):
         """Read the rest of a body.
 
-        :param limit: most bytes read.
-        :returns: ``(data, complete)``; incomplete past the limit.
+        :param limit: most bytes to read.
+        :returns: ``(data, complete)``; not complete if the body exceeds
+            the limit.
         """
         parts = []
         size = 0
@@ -137,7 +138,7 @@
     async def fetch(self, method, target, headers, body, limit):
         """Send a request and read its whole response.
 
-        :param limit: most bytes of body read.
+        :param limit: most bytes of the body to read.
         :returns: a :class:`Response`.
         :raises ConnectionBrokenError: the response is not complete.
         """
@@ -149,33 +150,34 @@
             raise exceptions.ConnectionBrokenError('response too large')
         return Response(head, data)
 
-    def expect_another(self):
-        """Read past a response that belongs to no request of ours.
+    def skip_response(self):
+        """Skip a response that belongs to another request.
 
-        An endpoint may deliver a stray response where the next one is
-        expected; the awaited one follows on the same connection.
+        An endpoint may send such a response before the expected one, which
+        then follows on the same connection.  h11 allows one response to a
+        request, so a new parser is given a placeholder request.
         """
-        rest, _ = self.state.trailing_data
+        unparsed, _ = self.state.trailing_data
         self.state = new_parser()
-        dummy = h11.Request(
+        placeholder = h11.Request(
             method='GET', target='/', headers=[('Host', 'parser')]
         )
-        self.state.send(dummy)
+        self.state.send(placeholder)
         self.state.send(h11.EndOfMessage())
-        if rest:
-            self.state.receive_data(bytes(rest))
+        if unparsed:
+            self.state.receive_data(bytes(unparsed))
 
     def finish(self, head):
-        """End a request whose response was read whole.
+        """End a request whose response was read completely.
 
-        :param head: the :class:`ResponseHead`, for its idle time.
+        :param head: the :class:`ResponseHead`, for its ``Keep-Alive`` header.
         :returns: whether the connection may carry another request.
         """
         self.in_use = False
         self.idle_since_ms = CLOCK.now()
         self.idle_limit_ms = parse_idle_limit(head.get(b'keep-alive'))
         reusable = (
-            not self.ended
+            not self.closed
             and not self.has_unread
             and not self.state.trailing_data[0]
             and self.state.our_state is h11.DONE
@@ -188,18 +190,19 @@
         self.state.start_next_cycle()
         return True
 
-    def is_fresh(self):
-        """Say whether an idle connection may still be reused."""
+    def is_reusable(self):
+        """Return whether an idle connection may still be reused."""
         idle_ms = CLOCK.since(self.idle_since_ms)
-        closing = self.ended or self.transport.is_closing()
+        closing = self.closed or self.transport.is_closing()
         return not closing and idle_ms < self.idle_limit_ms
 
     def abort(self):
-        """Reset at once; a request still running is given up.
+        """Reset the connection at once and abandon any request on it.
 
-        What has not arrived yet is dropped.  After a plain close the
-        kernel goes on sending it for as long as the path is broken, and a
-        request that was given up would be carried out when it heals.
+        Bytes that have not been delivered are discarded.  After an orderly
+        close the kernel would keep retransmitting them while the network
+        path is broken, and an abandoned request would be executed once the
+        path recovers.
         """
         self.in_use = False
         if self.transport is None or self.transport.is_closing():
@@ -209,7 +212,7 @@
 
     async def _next_event(self):
         while True:
-            self.feed()
+            self.feed_parser()
             try:
                 event = self.state.next_event()
             except h11.RemoteProtocolError as exc:
@@ -222,26 +225,26 @@
             return event
 
     async def _wait(self):
-        if self.broken is not None:
+        if self.error is not None:
             raise exceptions.ConnectionBrokenError(
-                str(self.broken), isinstance(self.broken, TimeoutError)
+                str(self.error), isinstance(self.error, TimeoutError)
             )
-        if self.ended:
-            # A clean close ends a body that has no length.
+        if self.closed:
+            # An orderly close ends a body without declared length.
             self.state.receive_data(b'')
             return
         await self.wait_for_bytes()
 
 
 def new_parser():
-    """Return a fresh h11 client state."""
+    """Return a new h11 client connection."""
     return h11.Connection(h11.CLIENT, max_incomplete_event_size=MAX_HEAD_BYTES)
 
 
 def parse_idle_limit(value):
-    """Return how long a connection may stay idle and still be reused.
+    """Return for how long an idle connection may be reused.
 
-    :param value: the ``Keep-Alive`` header, or ``None``.
+    :param value: the value of the ``Keep-Alive`` header, or ``None``.
     :returns: milliseconds.
     """
     for part in (value or '').split(','):
@@ -251,19 +254,19 @@
     return DEFAULT_IDLE_MS
 
 
-async def connect(address, connect_ms, silence_ms):
+async def connect(address, connect_timeout_ms, user_timeout_ms):
     """Open a connection.
 
     :param address: ``IP:PORT``.
-    :param connect_ms: milliseconds allowed.
-    :param silence_ms: how long sent bytes may stay unacknowledged.
+    :param connect_timeout_ms: milliseconds allowed for connecting.
+    :param user_timeout_ms: how long sent bytes may stay unacknowledged.
     :returns: a :class:`ClientConnection`.
-    :raises EndpointUnreachableError: no connection stands.
+    :raises EndpointUnreachableError: the connection failed.
     """
     host, _, port = address.rpartition(':')
     loop = asyncio.get_running_loop()
     try:
-        async with asyncio.timeout(to_seconds(connect_ms)):
+        async with asyncio.timeout(to_seconds(connect_timeout_ms)):
             transport, connection = await loop.create_connection(
                 ClientConnection, host, int(port)
             )
@@ -275,5 +278,7 @@
         raise exceptions.EndpointDownError(f'{address}: {exc}') from exc
     except OSError as exc:
         raise exceptions.EndpointUnreachableError(f'{address}: {exc}') from exc
-    sockets.detect_silence(transport.get_extra_info('socket'), silence_ms)
+    sockets.detect_dead_peer(
+        transport.get_extra_info('socket'), user_timeout_ms
+    )
     return connection
--- a/pearrun/http1/limits.py
+++ b/pearrun/http1/limits.py
@@ -1,11 +1,11 @@
-"""What a caller may send, and how requests that break it are refused."""
+"""Limits of requests, and checks that reject requests beyond them."""
 
 import dataclasses
 
 
 @dataclasses.dataclass(frozen=True)
 class ServerLimits:
-    """What a caller may send, and how long it may take."""
+    """Limits of a request's size and of the time to receive it."""
 
     max_header_bytes: int = 16384
     max_body_bytes: int = 4 * 1024 * 1024
@@ -14,7 +14,10 @@
 
 
 class RejectedError(Exception):
-    """A request is answered with an error before it reaches a handler."""
+    """A request is rejected before it reaches the handler.
+
+    :param status: the HTTP status of the response.
+    """
 
     def __init__(self, status, reason):
         super().__init__(reason)
@@ -22,14 +25,14 @@
         self.reason = reason
 
 
-def has_framing(head):
-    """Say whether a request declares a body."""
+def declares_body(head):
+    """Return whether a request head declares a body."""
     names = {name for name, _ in head.headers}
     return b'content-length' in names or b'transfer-encoding' in names
 
 
 def check_size(head, limits):
-    """Refuse heads larger than allowed.
+    """Reject request heads that are too large.
 
     h11 limits only heads that arrive in several parts.
 
@@ -42,14 +45,17 @@
 
 
 def check_framing(head, limits):
-    """Refuse requests whose end two readers could see differently.
+    """Reject requests with ambiguous framing or too large a body.
+
+    With both framing headers, two parsers could disagree on where the
+    request ends (request smuggling).
 
-    :raises RejectedError: both framings are declared, or the body is
-        larger than allowed.
+    :raises RejectedError: both framing headers are present, or the body
+        is too large.
     """
     names = [name for name, _ in head.headers]
     if b'content-length' in names and b'transfer-encoding' in names:
-        raise RejectedError(400, 'both length and chunked framing')
+        raise RejectedError(400, 'both Content-Length and Transfer-Encoding')
     for name, value in head.headers:
         if name == b'content-length' and int(value) > limits.max_body_bytes:
             raise RejectedError(413, 'body too large')
--- a/pearrun/http1/messages.py
+++ b/pearrun/http1/messages.py
@@ -1,4 +1,4 @@
-"""HTTP messages as they pass between connections and handlers."""
+"""HTTP messages exchanged between connections and handlers."""
 
 import dataclasses
 
@@ -21,9 +21,9 @@
 
 @dataclasses.dataclass(frozen=True)
 class Request:
-    """One request, read whole.
+    """A complete request.
 
-    :param headers: names in their original case, in order.
+    :param headers: pairs of bytes, in their original order and case.
     :param received_ms: monotonic time at which the head was read.
     """
 
@@ -38,7 +38,7 @@
         """Return a header's value.
 
         :param name: the header's name in lower case, as bytes.
-        :returns: the first value as text; ``None`` without that header.
+        :returns: the first value as text; ``None`` if it is absent.
         """
         return get_header(self.headers, name)
 
@@ -50,7 +50,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class ResponseHead:
-    """Status and headers of a response whose body follows."""
+    """Status and headers of a response, without its body."""
 
     status: int
     headers: Headers
@@ -62,7 +62,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Response:
-    """One response, read whole."""
+    """A complete response."""
 
     head: ResponseHead
     body: bytes
@@ -81,21 +81,21 @@
     return None
 
 
-def drop_hop_by_hop(headers, also=frozenset()):
-    """Return the headers that concern more than one connection.
+def drop_hop_by_hop(headers, extra=frozenset()):
+    """Return the end-to-end headers.
 
-    Headers that ``Connection`` names are dropped too.
+    Headers listed in ``Connection`` are dropped too.
 
     :param headers: pairs of bytes.
-    :param also: further names to drop, in lower case.
+    :param extra: further names to drop, in lower case.
     """
-    named = {
+    listed = {
         token.strip().lower()
         for key, value in headers
         if key.lower() == b'connection'
         for token in value.split(b',')
     }
-    dropped = HOP_BY_HOP | named | also
+    dropped = HOP_BY_HOP | listed | extra
     return [
         (key, value) for key, value in headers if key.lower() not in dropped
     ]
--- a/pearrun/http1/pool.py
+++ b/pearrun/http1/pool.py
@@ -1,4 +1,4 @@
-"""Idle connections to one address, kept for reuse."""
+"""Pool of keep-alive connections to one address."""
 
 import dataclasses
 
@@ -10,49 +10,49 @@
 class PoolSettings:
     """Limits of the connections to one address.
 
-    :param max_connections: connections open at once.
-    :param connect_ms: milliseconds allowed for a new connection.
-    :param silence_ms: how long sent bytes may stay unacknowledged.
+    :param max_connections: most connections open at once.
+    :param connect_timeout_ms: milliseconds allowed for a new connection.
+    :param user_timeout_ms: how long sent bytes may stay unacknowledged.
     """
 
     max_connections: int
-    connect_ms: int
-    silence_ms: int
+    connect_timeout_ms: int
+    user_timeout_ms: int
 
 
 class Pool:
-    """Connections to one address; the most recently used goes first."""
+    """Connections to one address, reused last in, first out."""
 
     def __init__(self, address, settings):
         self.address = address
         self.settings = settings
         self.idle = []
-        self.open = 0
-        self.fetching = set()
+        self.open_connections = 0
+        self.in_flight = set()
 
-    async def take(self):
+    async def acquire(self):
         """Return an idle connection or a new one.
 
         :returns: a :class:`ClientConnection`.
         :raises EndpointUnreachableError: none could be opened.
-        :raises OverloadedError: the limit of connections is reached.
+        :raises OverloadedError: all connections are in use.
         """
-        connection = self._take_idle()
+        connection = self._pop_idle()
         if connection is not None:
             return connection
-        if self.open >= self.settings.max_connections:
+        if self.open_connections >= self.settings.max_connections:
             raise exceptions.OverloadedError(
-                f'{self.address}: {self.open} connections in use'
+                f'{self.address}: {self.open_connections} connections in use'
             )
-        self.open += 1
+        self.open_connections += 1
         try:
             connection = await client.connect(
                 self.address,
-                self.settings.connect_ms,
-                self.settings.silence_ms,
+                self.settings.connect_timeout_ms,
+                self.settings.user_timeout_ms,
             )
         except BaseException:
-            self.open -= 1
+            self.open_connections -= 1
             raise
         return connection
 
@@ -61,15 +61,16 @@
     ):
         """Send a request on a connection of the pool.
 
-        :param limit: most bytes of body read.
-        :param check: called once a connection stands; it raises where the
-            request must not be sent any more.
-        :returns: the whole :class:`Response`.
-        :raises EndpointUnreachableError: no connection stands.
+        :param limit: most bytes of the body to read.
+        :param check: called once connected, before sending; it raises if
+            the request must no longer be sent.
+        :returns: the complete :class:`Response`.
+        :raises EndpointUnreachableError: no connection could be opened.
+        :raises OverloadedError: all connections are in use.
         :raises ConnectionBrokenError: the response is not complete.
         """
-        connection = await self.take()
-        self.fetching.add(connection)
+        connection = await self.acquire()
+        self.in_flight.add(connection)
         try:
             check()
             response = await connection.fetch(
@@ -79,31 +80,34 @@
             self.discard(connection)
             raise
         finally:
-            self.fetching.discard(connection)
-        self.give_back(connection, response.head)
+            self.in_flight.discard(connection)
+        self.release(connection, response.head)
         return response
 
-    def give_back(self, connection, head):
-        """Keep a connection whose response was read whole, if it may."""
+    def release(self, connection, head):
+        """Return a connection to the pool after a complete response.
+
+        It is closed if it cannot be reused.
+        """
         if connection.finish(head):
             self.idle.append(connection)
         else:
-            self.open -= 1
+            self.open_connections -= 1
 
     def discard(self, connection):
         """Close a connection that must not be reused."""
         connection.abort()
-        self.open -= 1
+        self.open_connections -= 1
 
     def close(self):
         """Close all idle connections."""
         while self.idle:
             self.discard(self.idle.pop())
 
-    def _take_idle(self):
+    def _pop_idle(self):
         while self.idle:
             connection = self.idle.pop()
-            if connection.is_fresh():
+            if connection.is_reusable():
                 return connection
             self.discard(connection)
         return None
--- a/pearrun/http1/server.py
+++ b/pearrun/http1/server.py
@@ -1,9 +1,9 @@
 """Server side of HTTP/1.1 connections.
 
-One task serves each connection: it reads a request whole, calls the
-handler, and goes on with the next one, so that answers keep their
-order.  When the caller closes the connection, the task is cancelled,
-and with it everything the handler had under way.
+One task serves each connection: it reads a complete request, calls the
+handler, and continues with the next request, so that responses keep
+their order.  When the caller closes the connection, the task is
+cancelled, and with it the handler.
 """
 
 import asyncio
@@ -21,14 +21,14 @@
 from pearrun.http1.limits import ServerLimits
 from pearrun.http1.messages import Request
 
-# Unread bytes of a caller beyond which reading pauses.
+# Buffered bytes of a connection beyond which reading pauses.
 READ_BUFFER_BYTES = 64 * 1024
-# After a refusal the rest of the request is read and dropped for this
-# long, since closing on unread bytes would reset the connection and
-# lose the refusal.
+# After a rejection the rest of the request is read and discarded for this
+# long: closing a socket with unread bytes resets the connection, and the
+# caller might not receive the response.
 LINGER_MS = 1000
-# A caller that acknowledges nothing for this long is gone.
-SILENCE_MS = 5000
+# A connection whose caller acknowledges nothing for this long is closed.
+USER_TIMEOUT_MS = 5000
 
 CLOCK = Clock()
 
@@ -43,7 +43,7 @@
         super().__init__(READ_BUFFER_BYTES)
         self.server = server
         self.task = None
-        self.gone = False
+        self.caller_gone = False
         self.serving = False
         self.head_sent = False
 
@@ -51,7 +51,9 @@
 
     def connection_made(self, transport):
         super().connection_made(transport)
-        sockets.detect_silence(transport.get_extra_info('socket'), SILENCE_MS)
+        sockets.detect_dead_peer(
+            transport.get_extra_info('socket'), USER_TIMEOUT_MS
+        )
         limits = self.server.limits()
         self.state = h11.Connection(
             h11.SERVER, max_incomplete_event_size=limits.max_header_bytes
@@ -60,27 +62,27 @@
         self.task = asyncio.get_running_loop().create_task(self._serve())
 
     def eof_received(self):
-        self._leave()
+        self._cancel_task()
         return False
 
     def connection_lost(self, exc):
         self.server.connections.discard(self)
         self._writable.set()
-        self._leave()
+        self._cancel_task()
 
-    def _leave(self):
-        if not self.gone:
-            self.gone = True
+    def _cancel_task(self):
+        if not self.caller_gone:
+            self.caller_gone = True
             if self.task is not None:
                 self.task.cancel()
 
-    # the handler's side
+    # for handlers
 
     def start(self, status, headers, length=None):
         """Send a response's status and headers.
 
         :param headers: pairs of bytes, without framing headers.
-        :param length: the body's bytes; ``None`` if not known yet.
+        :param length: the body's length in bytes; ``None`` if unknown.
         """
         headers = list(headers)
         if length is not None:
@@ -92,23 +94,23 @@
         self.transport.write(self.state.send(response))
 
     async def write(self, data):
-        """Send some of a response's body; wait while the caller is slow."""
+        """Send part of a response's body; wait while the buffer is full."""
         self.transport.write(self.state.send(h11.Data(data=data)))
         await self.wait_until_writable()
 
     def finish(self):
-        """End a response whose body was sent whole."""
+        """End a response whose body was sent completely."""
         self.transport.write(self.state.send(h11.EndOfMessage()))
 
     async def reply(self, status, headers, body=b''):
-        """Send a whole response."""
+        """Send a complete response."""
         self.start(status, headers, len(body))
         if body:
             await self.write(body)
         self.finish()
 
     def abort(self):
-        """Break off: a response that was begun must not look complete."""
+        """Close at once, so that a started response is seen as incomplete."""
         self.transport.abort()
 
     # the connection's task
@@ -149,10 +151,10 @@
         return True
 
     async def _read_request(self, limits):
-        """Read one request whole.
+        """Read a complete request.
 
         :returns: a :class:`Request`; ``None`` if the caller sent none.
-        :raises RejectedError: it breaks the protocol or a limit.
+        :raises RejectedError: it violates the protocol or a limit.
         """
         head = await self._read_head(limits)
         if head is None:
@@ -161,8 +163,8 @@
         limits_module.check_size(head, limits)
         limits_module.check_framing(head, limits)
         if self.state.they_are_waiting_for_100_continue:
-            go_on = h11.InformationalResponse(status_code=100, headers=[])
-            self.transport.write(self.state.send(go_on))
+            response = h11.InformationalResponse(status_code=100, headers=[])
+            self.transport.write(self.state.send(response))
         body = await self._read_body(limits)
         headers = list(head.headers.raw_items())
         return Request(
@@ -170,13 +172,13 @@
             target=bytes(head.target),
             headers=headers,
             body=body,
-            has_body=bool(body) or limits_module.has_framing(head),
+            has_body=bool(body) or limits_module.declares_body(head),
             received_ms=received_ms,
         )
 
     async def _read_head(self, limits):
-        event = self._take_event()
-        if event is h11.NEED_DATA and not self._has_partial():
+        event = self._next_event()
+        if event is h11.NEED_DATA and not self._has_partial_head():
             try:
                 await self.wait_for_bytes(limits.idle_timeout_ms)
             except TimeoutError:
@@ -184,18 +186,20 @@
         try:
             async with asyncio.timeout(to_seconds(limits.header_timeout_ms)):
                 while event is h11.NEED_DATA:
-                    event = self._take_event()
+                    event = self._next_event()
                     if event is h11.NEED_DATA:
                         await self.wait_for_bytes()
         except TimeoutError as exc:
-            raise RejectedError(408, 'head took too long') from exc
+            raise RejectedError(
+                408, 'timed out reading the request head'
+            ) from exc
         return event if isinstance(event, h11.Request) else None
 
     async def _read_body(self, limits):
         parts = []
         size = 0
         while True:
-            event = self._take_event()
+            event = self._next_event()
             match event:
                 case h11.Data():
                     size += len(event.data)
@@ -213,14 +217,16 @@
         try:
             await self.wait_for_bytes(limits.header_timeout_ms)
         except TimeoutError as exc:
-            raise RejectedError(408, 'body took too long') from exc
+            raise RejectedError(
+                408, 'timed out reading the request body'
+            ) from exc
 
-    def _has_partial(self):
+    def _has_partial_head(self):
         data, _ = self.state.trailing_data
         return bool(data)
 
-    def _take_event(self):
-        self.feed()
+    def _next_event(self):
+        self.feed_parser()
         try:
             return self.state.next_event()
         except h11.RemoteProtocolError as exc:
@@ -238,7 +244,7 @@
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(to_seconds(LINGER_MS)):
                 while True:
-                    self.drop_unread()
+                    self.discard_unread()
                     await self.wait_for_bytes()
 
 
@@ -247,7 +253,7 @@
 
     :param handle: called with a :class:`Request` and the
         :class:`ServerConnection` to answer on.
-    :param limits: returns the :class:`ServerLimits` in force.
+    :param limits: returns the current :class:`ServerLimits`.
     """
 
     def __init__(self, handle, limits=ServerLimits):
@@ -258,7 +264,7 @@
         self.listener = None
 
     async def listen(self, address):
-        """Begin to accept connections.
+        """Start accepting connections.
 
         :param address: ``IP:PORT``.
         """
@@ -269,14 +275,15 @@
         )
 
     @property
-    def busy(self):
-        """How many requests are being answered."""
+    def active_requests(self):
+        """How many requests are being handled."""
         return sum(connection.serving for connection in self.connections)
 
     def close(self):
-        """Stop accepting, and close connections without a request.
+        """Stop accepting connections and close idle ones.
 
-        Requests being answered go on; their connections end with them.
+        Requests in progress continue; their connections are closed when
+        they end.
         """
         self.closing = True
         self.listener.close()
@@ -285,6 +292,6 @@
                 connection.transport.close()
 
     def abort(self):
-        """Break off every connection."""
+        """Close every connection at once."""
         for connection in list(self.connections):
             connection.abort()
--- a/pearrun/metrics.py
+++ b/pearrun/metrics.py
@@ -56,7 +56,7 @@
 class MetricsTable(dict):
     """Metrics of every service of one daemon, by service name."""
 
-    def of(self, service):
+    def get_or_create(self, service):
         """Return the :class:`ServiceMetrics` of a service."""
         if service not in self:
             self[service] = ServiceMetrics()
--- a/pearrun/platform/codec.py
+++ b/pearrun/platform/codec.py
@@ -6,7 +6,7 @@
 from pearrun.http1.messages import drop_hop_by_hop
 from pearrun.platform import headers as names
 from pearrun.relay.call import Call
-from pearrun.relay.verdicts import Verdict
+from pearrun.relay.responsekinds import ResponseKind
 from pearrun.shared.prompts import Prompt
 from pearrun.shared.prompts import PromptPart
 
@@ -162,18 +162,18 @@
     def judge(self, head, call):
         """Say what a response head means for a call.
 
-        :returns: a :class:`Verdict`.
+        :returns: a :class:`ResponseKind`.
         """
         echoed = head.get(names.ATTEMPT_ID)
         if echoed is not None and echoed != call.id:
-            return Verdict.STRAY
+            return ResponseKind.STRAY
         if head.status == 421:
-            return Verdict.WRONG_ENDPOINT
+            return ResponseKind.WRONG_ENDPOINT
         if head.get(names.NOT_RUN) is not None:
-            return Verdict.NOT_RUN
+            return ResponseKind.NOT_RUN
         if head.get(names.SEAL) is None:
-            return Verdict.UNSEALED
-        return Verdict.ANSWER
+            return ResponseKind.UNSEALED
+        return ResponseKind.ANSWER
 
     def forward_headers(self, head):
         """Return the headers of an answer to pass on."""
--- a/pearrun/platform/daemon.py
+++ b/pearrun/platform/daemon.py
@@ -172,15 +172,16 @@
         began_ms = self.clock.now()
         self.host.stopping = True
         self.front.closing = True
-        logger.bind(requests=self.front.busy).info('stopping')
+        logger.bind(requests=self.front.active_requests).info('stopping')
         last_ms = began_ms + self.settings.stop_ms - STOP_MARGIN_MS
         await asyncio.sleep(to_seconds(LEAVE_MS))
         # From here on no request is read that could not be finished.
         self.front.close()
-        while self.front.busy and self.clock.now() < last_ms:
+        while self.front.active_requests and self.clock.now() < last_ms:
             await asyncio.sleep(to_seconds(STOP_POLL_MS))
         logger.bind(
-            requests=self.front.busy, after_ms=self.clock.since(began_ms)
+            requests=self.front.active_requests,
+            after_ms=self.clock.since(began_ms),
         ).info('stop')
         await self.members.leave()
         await self.end()
@@ -230,7 +231,7 @@
         now = self.clock.now()
         return {
             'ready': int(self.host.is_ready()),
-            'requests_open': self.front.busy,
+            'requests_open': self.front.active_requests,
             'connections_open': len(self.front.connections),
             'config_version': self.host.config.version,
             'config_age_ms': self.host.config.age_ms(),
--- a/pearrun/platform/following.py
+++ b/pearrun/platform/following.py
@@ -53,7 +53,7 @@
         while True:
             try:
                 await self._read_once()
-                backoff.tries = 0
+                backoff.attempts = 0
                 self._note_reachable()
                 await asyncio.sleep(to_seconds(self.pause_ms))
             except exceptions.ExpiredOffsetError as exc:
--- a/pearrun/platform/store.py
+++ b/pearrun/platform/store.py
@@ -201,7 +201,7 @@
             self.failures += 1
             self._failed_in_row = min(MOST_DOUBLED, self._failed_in_row + 1)
             self.failing = True
-            if exceptions.is_silence(exc):
+            if exceptions.is_peer_silent(exc):
                 # What silenced this connection may have silenced the idle
                 # ones: each would cost another call its whole time.
                 self.pool.close()
@@ -218,7 +218,7 @@
         if not self.failing:
             return
         self.failing = False
-        for connection in list(self.pool.fetching):
+        for connection in list(self.pool.in_flight):
             connection.abort()
 
 
--- a/pearrun/relay/__init__.py
+++ b/pearrun/relay/__init__.py
@@ -1,1 +1,1 @@
-"""Taking one call to an endpoint and its answer back."""
+"""Forwarding of one call to an endpoint and of its response back."""
--- a/pearrun/relay/call.py
+++ b/pearrun/relay/call.py
@@ -1,4 +1,4 @@
-"""One caller's request as the relay sees it."""
+"""A request together with its route and customer."""
 
 import dataclasses
 import functools
@@ -13,13 +13,14 @@
 
 @dataclasses.dataclass(frozen=True)
 class Call:
-    """A request that a route and a customer were found for.
+    """A request whose route and customer are known.
 
     :param deadline_ms: monotonic time at which the caller gives up.
-    :param timeout_at_ms: monotonic time by which an answer is due: the
+    :param timeout_at_ms: monotonic time by which a response is due: the
         earlier of the caller's deadline and the route's timeout.
-    :param units: what the call counts against its customer's quota.
-    :param last_event_id: the event after which the caller goes on.
+    :param units: quota units that the call consumes.
+    :param last_event_id: id of the last event that the caller has
+        received; the stream resumes after it.
     """
 
     id: RequestId
@@ -35,7 +36,7 @@
 
     @functools.cached_property
     def fingerprint(self):
-        """What a repeat of this request by its caller has in common."""
+        """The fingerprint, equal for retries of the same request."""
         request = self.request
         customer = self.customer.name if self.customer else ''
         return make_fingerprint(
--- a/pearrun/relay/events.py
+++ b/pearrun/relay/events.py
@@ -1,46 +1,49 @@
-"""Server-sent events: cutting a byte stream into whole events."""
+"""Server-sent events: splitting a byte stream into complete events."""
 
 from pearrun import exceptions
 
-# Largest event kept while its end is awaited.
+# Most bytes that are buffered while an event is incomplete.
 MAX_EVENT_BYTES = 1024 * 1024
 
 
-class EventCutter:
-    """Collects a stream's bytes and hands out whole events.
+class EventSplitter:
+    """Buffers a stream's bytes and returns complete events.
 
-    ``last_id`` is the id of the last event handed out.
+    ``last_event_id`` is the id of the last event returned.
     """
 
-    def __init__(self, last_id=None):
-        self.last_id = last_id
-        self._rest = b''
+    def __init__(self, last_event_id=None):
+        self.last_event_id = last_event_id
+        self._buffer = b''
 
     def feed(self, data):
-        """Take bytes; return all events that are complete now.
+        """Add received bytes; return all events that are now complete.
 
         :returns: the events' bytes, unchanged; may be empty.
         :raises ConnectionBrokenError: an event is too large.
         """
-        self._rest += data
-        if len(self._rest) > MAX_EVENT_BYTES:
+        self._buffer += data
+        if len(self._buffer) > MAX_EVENT_BYTES:
             raise exceptions.ConnectionBrokenError('event too large')
-        end = self._rest.rfind(b'\n\n')
+        end = self._buffer.rfind(b'\n\n')
         if end < 0:
             return b''
-        whole, self._rest = self._rest[: end + 2], self._rest[end + 2 :]
-        last_id = find_last_id(whole)
-        if last_id is not None:
-            self.last_id = last_id
-        return whole
+        complete, self._buffer = (
+            self._buffer[: end + 2],
+            self._buffer[end + 2 :],
+        )
+        event_id = find_last_event_id(complete)
+        if event_id is not None:
+            self.last_event_id = event_id
+        return complete
 
     @property
-    def rest(self):
-        """Bytes of an event whose end has not come."""
-        return self._rest
+    def incomplete(self):
+        """Bytes of the last event, which is not complete yet."""
+        return self._buffer
 
 
-def find_last_id(events):
+def find_last_event_id(events):
     """Return the id of the last event that has one, or ``None``."""
     for line in reversed(events.split(b'\n')):
         name, _, value = line.partition(b':')
--- a/pearrun/relay/outcomes.py
+++ b/pearrun/relay/outcomes.py
@@ -1,11 +1,11 @@
-"""How one send of a call to an endpoint ended."""
+"""Outcomes of one attempt to send a call to an endpoint."""
 
 import dataclasses
 
 
 @dataclasses.dataclass(frozen=True)
 class Answered:
-    """The endpoint's answer was passed on whole."""
+    """The endpoint's response was forwarded completely."""
 
     status: int
 
@@ -14,24 +14,24 @@
 class NotRun:
     """The endpoint has not run the call and will not.
 
-    :param arrived: whether the call reached the endpoint, which counts
-        against the budget of repeated sends.
+    :param delivered: whether the call reached the endpoint; a retry then
+        counts against the retry budget.
     """
 
     reason: str
-    arrived: bool = True
+    delivered: bool = True
 
 
 @dataclasses.dataclass(frozen=True)
-class Unknown:
-    """The call may have run; nothing was passed on to the caller."""
+class OutcomeUnknown:
+    """The call may have run; nothing was forwarded to the caller."""
 
     reason: str
 
 
 @dataclasses.dataclass(frozen=True)
-class FailedAnswer:
-    """The endpoint answered with an error that another one may mend.
+class ErrorResponse:
+    """The endpoint answered with a server error; another may succeed.
 
     :param head: the endpoint's :class:`ResponseHead`.
     """
@@ -41,7 +41,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Cut:
-    """A stream broke off after some of it was passed on."""
+class Interrupted:
+    """The response broke off after part of it was forwarded."""
 
     reason: str
--- a/pearrun/relay/relay.py
+++ b/pearrun/relay/relay.py
@@ -1,4 +1,4 @@
-"""Takes one call to an endpoint and the answer back to its caller."""
+"""Forwards calls to endpoints and responses back to callers."""
 
 import asyncio
 import random
@@ -9,29 +9,29 @@
 from pearrun.decisions.budget import RetryBudget
 from pearrun.relay.exchange import Exchange
 from pearrun.relay.outcomes import Answered
-from pearrun.relay.outcomes import Cut
-from pearrun.relay.outcomes import FailedAnswer
+from pearrun.relay.outcomes import ErrorResponse
+from pearrun.relay.outcomes import Interrupted
 from pearrun.relay.outcomes import NotRun
-from pearrun.relay.outcomes import Unknown
+from pearrun.relay.outcomes import OutcomeUnknown
 from pearrun.relay.trace import CallTrace
 from pearrun.relay.trace import Ending
 from pearrun.shared.configuration import CallKind
 
-# Most endpoints that one call is offered to when each says that it has
-# not run it; more would spend the shared budget on one call.
-MOST_OFFERS = 4
-# Reason in the log line of a call that is kept from endpoints.
+# Most attempts for one call, also when no endpoint has run it; more would
+# spend the service's retry budget on one call.
+MAX_ATTEMPTS = 4
+# Reason in the log line of a call that is refused as quarantined.
 QUARANTINED = 'quarantined'
-# How soon callers may come back when no endpoint is known: endpoints are
-# listed again within about 2 s, so a part of that.
-NO_ENDPOINT_RETURN_MS = 500
-# Times the wait for the next call to pass that a customer over its quota
-# is told to stay away: some calls wait for the same units.
-QUOTA_SPREAD = 3.0
+# Retry-After of callers when no endpoint is available.  The endpoint list
+# is refreshed within about 2 s, so this is a fraction of that.
+NO_ENDPOINT_RETRY_AFTER_MS = 500
+# Factor by which Retry-After exceeds the time until a customer over its
+# quota may send the next call: several calls wait for the same units.
+QUOTA_RETRY_AFTER_FACTOR = 3.0
 
 
 class Relay:
-    """Relays calls.
+    """Forwards calls, with retries within each service's budget.
 
     :param host: shared objects of this host; see :class:`HostContext`.
     """
@@ -43,7 +43,7 @@
         self.budgets = {}
 
     async def relay(self, call, caller):
-        """Serve a call to its end.
+        """Serve a call until it has ended.
 
         :param call: the :class:`Call`.
         :param caller: the :class:`ServerConnection` to answer on.
@@ -66,13 +66,15 @@
         if not self.host.quotas.admit(call):
             trace.reason = 'quota'
             await self._refuse(
-                call, caller, trace, 429, self._quota_return(call)
+                call, caller, trace, 429, self._quota_retry_after(call)
             )
             return
         service = self._choose_service(call)
         if service is None:
             trace.reason = 'no service'
-            await self._refuse(call, caller, trace, 503, NO_ENDPOINT_RETURN_MS)
+            await self._refuse(
+                call, caller, trace, 503, NO_ENDPOINT_RETRY_AFTER_MS
+            )
             return
         self._budget(service.name).count_call(self.clock.now())
         left_ms = call.timeout_at_ms - self.clock.now()
@@ -83,90 +85,101 @@
             await self._time_out(call, caller, trace)
 
     async def _serve(self, call, service, caller, trace):
-        """Send the call until it is answered or given up."""
+        """Send the call, with retries, until it is answered or fails."""
         tried = set()
-        unreached = set()
-        resume = Resume(call.last_event_id)
+        unconnected = set()
+        resume = ResumePoint(call.last_event_id)
         while True:
-            selected = self._choose(call, service, trace, tried, unreached)
+            selected = self._choose_endpoint(
+                call, service, trace, tried, unconnected
+            )
             if selected is None:
-                await self._give_up(call, caller, trace, 'no endpoint')
+                await self._fail(call, caller, trace, 'no endpoint')
                 return
             trace.expected_ms = selected.expected_ms
-            if not trace.tries:
+            if not trace.attempts:
                 self.host.demands.note_call(
                     service.name,
                     selected.fresh_tokens,
                     call.route.latency_target_ms,
                 )
-            if not trace.tries and not self._admits(call, selected):
+            if not trace.attempts and not self._admits(call, selected):
                 trace.reason = 'overload'
-                return_ms = self._return_after(call, selected.expected_ms)
-                await self._refuse(call, caller, trace, 503, return_ms)
+                retry_after_ms = self._retry_after_ms(
+                    call, selected.expected_ms
+                )
+                await self._refuse(call, caller, trace, 503, retry_after_ms)
                 return
-            trace.note_send(selected, self.clock.now())
+            trace.record_attempt(selected, self.clock.now())
             exchange = Exchange(self.host, call, service, caller, trace)
             outcome = await exchange.run(selected, resume)
-            arrived = not isinstance(outcome, NotRun) or outcome.arrived
-            (tried if arrived else unreached).add(selected.endpoint.id)
-            if not await self._go_on(call, service, caller, trace, outcome):
+            delivered = not isinstance(outcome, NotRun) or outcome.delivered
+            (tried if delivered else unconnected).add(selected.endpoint.id)
+            if not await self._handle_outcome(
+                call, service, caller, trace, outcome
+            ):
                 return
             if self.host.quarantine.left_ms(call):
-                await self._give_up(call, caller, trace, QUARANTINED)
+                await self._fail(call, caller, trace, QUARANTINED)
                 return
 
-    def _choose(self, call, service, trace, tried, unreached):
+    def _choose_endpoint(self, call, service, trace, tried, unconnected):
         """Choose the next endpoint for a call.
 
-        A call that has run elsewhere, and can no longer be refused, goes
-        back to endpoints that took no connection: one that was slow to
-        accept may still save it.  One that has not run is refused at once.
+        Endpoints that accepted no connection are tried again only for a
+        call that may have run: it can no longer be refused as not run, and
+        an endpoint that was slow to accept may still answer it.  Any other
+        call is refused at once.
         """
         selection = self.host.selection
-        selected = selection.choose(call, service, tried | unreached)
-        if selected is None and unreached and trace.may_have_run:
+        selected = selection.choose(call, service, tried | unconnected)
+        if selected is None and unconnected and trace.may_have_run:
             return selection.choose(call, service, tried)
         return selected
 
-    async def _go_on(self, call, service, caller, trace, outcome):
-        """Act on how a send ended.
+    async def _handle_outcome(self, call, service, caller, trace, outcome):
+        """Act on the outcome of an attempt.
 
-        :returns: whether the call is to be sent again.
+        :returns: whether to make another attempt.
         """
         match outcome:
             case Answered(status):
                 self.host.quarantine.note_answered(call)
                 trace.end(Ending.ANSWERED, status)
                 return False
-            case NotRun(reason, arrived):
-                trace.note_not_run(reason)
-                offered = len(trace.tries) >= MOST_OFFERS
-                if not offered and (not arrived or self._may_repeat(service)):
+            case NotRun(reason, delivered):
+                trace.record_not_run(reason)
+                exhausted = len(trace.attempts) >= MAX_ATTEMPTS
+                if not exhausted and (
+                    not delivered or self._take_retry(service)
+                ):
                     return True
-            case Unknown(reason) | Cut(reason):
-                trace.note_run(reason)
-                if self._may_run_again(call, service, trace):
+            case OutcomeUnknown(reason) | Interrupted(reason):
+                trace.record_run(reason)
+                if self._may_rerun(call, service, trace):
                     return True
-            case FailedAnswer(head):
+            case ErrorResponse(head):
                 self.host.quarantine.note_answered(call)
-                trace.note_run(f'endpoint answered {head.status}')
-                if self._may_run_again(call, service, trace):
-                    trace.failed_answer = outcome
+                trace.record_run(f'endpoint answered {head.status}')
+                if self._may_rerun(call, service, trace):
+                    trace.error_response = outcome
                     return True
-                await self._pass_failure(caller, trace, outcome)
+                await self._forward_error(caller, trace, outcome)
                 return False
-        await self._give_up(call, caller, trace, trace.reason)
+        await self._fail(call, caller, trace, trace.reason)
         return False
 
-    def _may_run_again(self, call, service, trace):
+    def _may_rerun(self, call, service, trace):
+        """Return whether a call that may have run is sent again."""
         return (
             call.route.repeatable
             and trace.runs < call.route.max_attempts
-            and len(trace.tries) < MOST_OFFERS
-            and self._may_repeat(service)
+            and len(trace.attempts) < MAX_ATTEMPTS
+            and self._take_retry(service)
         )
 
-    def _may_repeat(self, service):
+    def _take_retry(self, service):
+        """Take one retry from the service's budget, if it has one left."""
         hosts = self.host.count_hosts()
         return self._budget(service.name).take(self.clock.now(), hosts)
 
@@ -197,39 +210,44 @@
             self.admission,
         )
 
-    def _quota_return(self, call):
-        """Return when a caller over its quota had best come back.
+    def _quota_retry_after(self, call):
+        """Return the milliseconds until a call over its quota may be retried.
 
-        Its own calls refused meanwhile come back too, so the time until
-        the first of them passes is drawn out.
+        The customer's other refused calls are retried too and compete for
+        the same units, so this is longer than the wait for one call.
         """
-        wait_ms = QUOTA_SPREAD * self.host.quotas.wait_ms(call)
-        return self._return_after(call, wait_ms)
+        wait_ms = QUOTA_RETRY_AFTER_FACTOR * self.host.quotas.wait_ms(call)
+        return self._retry_after_ms(call, wait_ms)
+
+    def _retry_after_ms(self, call, wait_ms):
+        """Return after how many milliseconds to retry a refused call.
 
-    def _return_after(self, call, wait_ms):
-        """Return when a caller who would wait for so long had best return."""
+        :param wait_ms: time until the call could be served.
+        """
         left_ms = call.timeout_at_ms - self.clock.now()
         return admission.return_after_ms(
             wait_ms, left_ms, call.route.latency_target_ms, self.admission
         )
 
-    # endings
+    # results
 
-    async def _give_up(self, call, caller, trace, reason):
+    async def _fail(self, call, caller, trace, reason):
         trace.reason = reason
         if caller.head_sent:
-            # A stream that was begun must not look complete.
+            # A stream that has begun must not appear complete.
             trace.end(Ending.BROKEN_OFF, 0)
             caller.abort()
-        elif trace.failed_answer is not None:
-            await self._pass_failure(caller, trace, trace.failed_answer)
+        elif trace.error_response is not None:
+            await self._forward_error(caller, trace, trace.error_response)
         elif trace.may_have_run:
             trace.end(Ending.FAILED, 502)
             await self._reply_error(
                 caller, exceptions.OutcomeUnknownError(reason), 502
             )
         else:
-            await self._refuse(call, caller, trace, 503, NO_ENDPOINT_RETURN_MS)
+            await self._refuse(
+                call, caller, trace, 503, NO_ENDPOINT_RETRY_AFTER_MS
+            )
 
     async def _time_out(self, call, caller, trace):
         trace.reason = trace.reason or 'timeout'
@@ -238,24 +256,27 @@
             caller.abort()
             return
         if not trace.may_have_run:
-            await self._refuse(call, caller, trace, 503, NO_ENDPOINT_RETURN_MS)
+            await self._refuse(
+                call, caller, trace, 503, NO_ENDPOINT_RETRY_AFTER_MS
+            )
             return
         trace.end(Ending.TIMED_OUT, 504)
         error = exceptions.OutcomeUnknownError('no answer in time')
         await self._reply_error(caller, error, 504)
 
-    async def _refuse(self, call, caller, trace, status, return_ms):
+    async def _refuse(self, call, caller, trace, status, retry_after_ms):
         trace.end(Ending.REFUSED, status)
         left_ms = max(0, call.timeout_at_ms - self.clock.now())
-        return_ms = min(return_ms, left_ms / 3)
+        retry_after_ms = min(retry_after_ms, left_ms / 3)
         error = exceptions.CapacityError(trace.reason or 'refused')
-        error.retry_after_s = round(return_ms / 1000.0, 3)
+        error.retry_after_s = round(retry_after_ms / 1000.0, 3)
         await self._reply_error(caller, error, status)
 
     async def _refuse_quarantined(self, call, caller, trace, left_ms):
         """Refuse a call that would crash the endpoint that runs it.
 
-        Its caller is told the whole time: to come back sooner is useless.
+        Retry-After is the whole remaining time of the quarantine, because
+        an earlier retry would be refused too.
         """
         self.host.quarantine.refused += 1
         trace.reason = QUARANTINED
@@ -270,16 +291,17 @@
         body, headers = self.host.codec.encode_error(error)
         await caller.reply(status, headers, body)
 
-    async def _pass_failure(self, caller, trace, failed):
-        trace.end(Ending.ANSWERED, failed.head.status)
-        headers = self.host.codec.forward_headers(failed.head)
-        await caller.reply(failed.head.status, headers, failed.body)
+    async def _forward_error(self, caller, trace, response):
+        trace.end(Ending.ANSWERED, response.head.status)
+        headers = self.host.codec.forward_headers(response.head)
+        await caller.reply(response.head.status, headers, response.body)
 
 
-class Resume:
-    """Where a stream goes on at its next endpoint.
+class ResumePoint:
+    """The position at which the next endpoint continues a stream.
 
-    :param last_event_id: the last event the caller has, or ``None``.
+    :param last_event_id: id of the last event that the caller has
+        received, or ``None``.
     """
 
     def __init__(self, last_event_id):
--- a/pearrun/relay/trace.py
+++ b/pearrun/relay/trace.py
@@ -1,4 +1,4 @@
-"""What happened to one call, for its log line and the metrics."""
+"""Trace of one call, for its log line and the metrics."""
 
 import dataclasses
 import enum
@@ -20,11 +20,11 @@
 
 
 @dataclasses.dataclass
-class Try:
-    """One send of a call to an endpoint.
+class Attempt:
+    """One attempt to send a call to an endpoint.
 
-    :param after_ms: milliseconds since the call came.
-    :param outcome: why it brought no answer; empty where it did.
+    :param after_ms: milliseconds from the call's arrival to this attempt.
+    :param outcome: why the attempt failed; empty if it succeeded.
     """
 
     endpoint_id: EndpointId
@@ -33,20 +33,20 @@
 
 
 class CallTrace:
-    """Collects the decisions on one call.
+    """Collects the attempts and the result of one call.
 
     :param call: the :class:`Call`.
-    :param begun_ms: monotonic time.
+    :param started_ms: monotonic time at which the call arrived.
     """
 
-    def __init__(self, call, begun_ms):
+    def __init__(self, call, started_ms):
         self.call = call
-        self.begun_ms = begun_ms
-        self.tries = []
+        self.started_ms = started_ms
+        self.attempts = []
         self.runs = 0
-        self.unanswered = False
-        self.failed_answer = None
-        self.first_event_ms = None
+        self.in_flight = False
+        self.error_response = None
+        self.first_byte_ms = None
         self.expected_ms = 0.0
         self.reason = ''
         self.fingerprint = None
@@ -55,45 +55,45 @@
 
     @property
     def may_have_run(self):
-        """Whether an endpoint has run the call, or may have."""
-        return self.runs > 0 or self.unanswered
+        """Whether an endpoint has run the call or may have."""
+        return self.runs > 0 or self.in_flight
 
-    def note_send(self, selected, now_ms):
-        """Note that the call is sent to an endpoint."""
-        after_ms = now_ms - self.begun_ms
-        self.tries.append(Try(selected.endpoint.id, after_ms))
+    def record_attempt(self, selected, now_ms):
+        """Record an attempt to send the call to an endpoint."""
+        after_ms = now_ms - self.started_ms
+        self.attempts.append(Attempt(selected.endpoint.id, after_ms))
 
-    def note_written(self):
-        """Note that an endpoint may have the call from now on."""
-        self.unanswered = True
+    def record_written(self):
+        """Record that the request was written: it may run from now on."""
+        self.in_flight = True
 
-    def note_not_run(self, reason):
-        """Note that the endpoint has not run the call, and why."""
-        self.unanswered = False
-        self._note_outcome(reason)
+    def record_not_run(self, reason):
+        """Record that the endpoint has not run the call, and why."""
+        self.in_flight = False
+        self._set_outcome(reason)
 
-    def note_run(self, reason):
-        """Note that the call ran, or may have, and why it has no answer."""
+    def record_run(self, reason):
+        """Record that the call ran or may have, and why it failed."""
         self.runs += 1
-        self.unanswered = False
-        self._note_outcome(reason)
+        self.in_flight = False
+        self._set_outcome(reason)
 
-    def _note_outcome(self, reason):
+    def _set_outcome(self, reason):
         self.reason = reason
-        self.tries[-1].outcome = reason
+        self.attempts[-1].outcome = reason
 
-    def note_first(self, now_ms):
-        """Note the first byte of an answer."""
-        if self.first_event_ms is None:
-            self.first_event_ms = now_ms - self.begun_ms
+    def record_first_byte(self, now_ms):
+        """Record when the first byte of a response is forwarded."""
+        if self.first_byte_ms is None:
+            self.first_byte_ms = now_ms - self.started_ms
 
     def end(self, ending, status):
-        """Note how the call ended."""
+        """Record how the call ended."""
         self.ending = ending
         self.status = status
 
     def log(self, host, now_ms):
-        """Write the call's line: inputs, their age, and the outcome."""
+        """Log the call: its attempts, limits and result."""
         call = self.call
         ending = self.ending.value if self.ending else 'error'
         logger.bind(
@@ -103,11 +103,11 @@
             ending=ending,
             status=self.status,
             reason=self.reason,
-            tries=[dataclasses.astuple(item) for item in self.tries],
+            tries=[dataclasses.astuple(item) for item in self.attempts],
             target_ms=call.route.latency_target_ms,
             expected_ms=round(self.expected_ms),
-            first_ms=self.first_event_ms,
-            total_ms=now_ms - self.begun_ms,
+            first_ms=self.first_byte_ms,
+            total_ms=now_ms - self.started_ms,
             left_ms=call.timeout_at_ms - now_ms,
             tokens=call.prompt.tokens,
             units=round(call.units),
--- a/pearrun/shared/counters.py
+++ b/pearrun/shared/counters.py
@@ -26,12 +26,12 @@
         ending = trace.ending.value if trace.ending else 'error'
         key = (trace.call.route.name, ending, trace.status)
         self.endings[key] = self.endings.get(key, 0) + 1
-        self.sends += len(trace.tries)
-        self.repeats += max(0, len(trace.tries) - 1)
+        self.sends += len(trace.attempts)
+        self.repeats += max(0, len(trace.attempts) - 1)
         route = trace.call.route.name
-        if trace.first_event_ms is not None:
-            record(self._of(self.first, route), trace.first_event_ms)
-        record(self._of(self.total, route), now_ms - trace.begun_ms)
+        if trace.first_byte_ms is not None:
+            record(self._of(self.first, route), trace.first_byte_ms)
+        record(self._of(self.total, route), now_ms - trace.started_ms)
 
     def render(self, gauges, store_calls=()):
         """Return all metrics as text, a line each.
--- a/tests/crashes.py
+++ b/tests/crashes.py
@@ -61,7 +61,7 @@
     return await call(host, path, attempt, 'POST', body, **prompt)
 
 
-async def send_often(site, path, count, name='a'):
+async def send_repeatedly(site, path, count, name='a'):
     """Send the crashing request again and again, to one host after another.
 
     Entries of crashed endpoints lapse meanwhile, as the platform's do.
--- a/tests/soak/traffic.py
+++ b/tests/soak/traffic.py
@@ -131,7 +131,7 @@
             await asyncio.sleep(to_seconds(THINK_MS))
             return
         for _ in range(CALLS_EACH):
-            if self.stopped or connection.ended:
+            if self.stopped or connection.closed:
                 break
             kind = self.rng.choice(KINDS)
             record = await self.call(connection, host, kind)
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -7,7 +7,7 @@
 from tests.crashes import list_runners
 from tests.crashes import run_crashing_site
 from tests.crashes import send
-from tests.crashes import send_often
+from tests.crashes import send_repeatedly
 from tests.platformsite import wait_until
 from tests.test_topology import play_with_hubs
 
@@ -32,7 +32,7 @@
 async def check_stopped(site, path, delay_s=0):
     """Send a crashing request often; check that it is stopped."""
     await asyncio.sleep(delay_s)
-    answers = await send_often(site, path, SENDS)
+    answers = await send_repeatedly(site, path, SENDS)
     assert count_crashed(site, path) <= most_crashes(path)
     last = answers[-1]
     assert last.status == 503
@@ -64,7 +64,7 @@
 def test_hosts_that_start_again_forget_what_crashes_endpoints():
     async def main():
         async with run_crashing_site() as site:
-            await send_often(site, '/once/x', 4)
+            await send_repeatedly(site, '/once/x', 4)
             await wait_until(lambda: is_saved(site))
             for daemon in list(site.hosts.values()):
                 await daemon.end()
@@ -72,7 +72,7 @@
             for number in (1, 2, 3):
                 daemon = await site.add_host(number)
                 await wait_until(daemon.host.is_ready)
-            answers = await send_often(site, '/once/x', 2, 'b')
+            answers = await send_repeatedly(site, '/once/x', 2, 'b')
             assert [answer.status for answer in answers] == [503, 503]
             assert count_crashed(site, '/once/x') == crashed
 
@@ -82,7 +82,7 @@
 def test_a_host_that_comes_later_does_not_know_what_crashes_endpoints():
     async def main():
         async with run_crashing_site() as site:
-            await send_often(site, '/once/x', 4)
+            await send_repeatedly(site, '/once/x', 4)
             await wait_until(lambda: is_saved(site))
             # It cannot read the store's topic of the quarantine.
             site.store.topics.pop('keyed.quarantine')
@@ -99,7 +99,7 @@
         for runner in site.runners.values():
             runner.faults.crash_on = CRASHING
         beating = asyncio.create_task(site.keep_beating())
-        await send_often(site, '/once/x', SENDS)
+        await send_repeatedly(site, '/once/x', SENDS)
         beating.cancel()
         assert count_crashed(site, '/once/x') <= 4
 
--- a/tests/test_http1_server.py
+++ b/tests/test_http1_server.py
@@ -161,7 +161,7 @@
         writer.write(make_request())
         while not recorder.requests:
             await asyncio.sleep(0.01)
-        assert server.busy == 1
+        assert server.active_requests == 1
         writer.close()
         async with asyncio.timeout(1):
             while not recorder.cancelled:
--- a/tests/test_platform_adapter.py
+++ b/tests/test_platform_adapter.py
@@ -23,7 +23,7 @@
 from pearrun.platform.store import split_key
 from pearrun.platform.store import split_records
 from pearrun.platform.store import StoreClient
-from pearrun.relay.events import EventCutter
+from pearrun.relay.events import EventSplitter
 from pearrun.shared import reports
 from pearrun.shared.clocksync import CorrectedClock
 from pearrun.shared.configuration import CallKind
@@ -186,14 +186,14 @@
 def test_events_are_cut_whole_wherever_the_bytes_are_split():
     stream = b'id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\nda'
     for size in range(1, 12):
-        cutter = EventCutter()
+        cutter = EventSplitter()
         whole = b''.join(
             cutter.feed(stream[at : at + size])
             for at in range(0, len(stream), size)
         )
         assert whole.endswith(b'data: b\n\n')
-        assert cutter.last_id == '2'
-        assert cutter.rest == b'id: 3\nda'
+        assert cutter.last_event_id == '2'
+        assert cutter.incomplete == b'id: 3\nda'
 
 
 def test_reports_survive_the_wire():
--- a/tests/test_platform_path.py
+++ b/tests/test_platform_path.py
@@ -359,7 +359,7 @@
 class SilentPool:
     """Pool of an endpoint behind a cut path: no connection ever stands."""
 
-    async def take(self):
+    async def acquire(self):
         await asyncio.Event().wait()
 
 
@@ -585,7 +585,7 @@
         assert head.status == 200
         assert head.get(b'connection') == 'close'
         await leaving
-        await wait_until(lambda: idle.ended)
+        await wait_until(lambda: idle.closed)
 
     play(scenario, runners=PLAIN)
 
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -23,7 +23,7 @@
 from tests.crashes import count_crashed
 from tests.crashes import run_crashing_site
 from tests.crashes import send
-from tests.crashes import send_often
+from tests.crashes import send_repeatedly
 
 NOW_MS = 10_000_000
 SECONDS = 60
@@ -314,7 +314,7 @@
 def test_good_requests_of_the_same_customer_go_on_beside_the_quarantine():
     async def main():
         async with run_crashing_site() as site:
-            await send_often(site, '/once/x', 4)
+            await send_repeatedly(site, '/once/x', 4)
             crashed = count_crashed(site, '/once/x')
             host = site.hosts['host-1']
             for number in range(5):
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -34,7 +34,7 @@
     """Have a host's calls to the store fail from now on."""
     daemon.store.pool.address = '127.0.0.1:9'
     daemon.store.pool.close()
-    for connection in list(daemon.store.pool.fetching):
+    for connection in list(daemon.store.pool.in_flight):
         connection.abort()
 
 
--- a/tests/test_topology.py
+++ b/tests/test_topology.py
@@ -282,7 +282,7 @@
             (reader,) = (d for d in hosts if d.reporter.plan.is_reader)
             reader.store.pool.address = '127.0.0.1:9'
             reader.store.pool.close()
-            for connection in list(reader.store.pool.fetching):
+            for connection in list(reader.store.pool.in_flight):
                 connection.abort()
             runner = site.runners['p1']
             runner.state = 'draining'
