--- a/pearrun/__init__.py
+++ b/pearrun/__init__.py
@@ -1,8 +1,8 @@
 """pearrun: serving language models on reclaimable hosts.
 
-The public surface is small: settings, the clock, the error hierarchy
-and the typed ids.  Everything else is reached through the daemon
-``pearrund`` and the command-line tool ``pearrun``.
+The public API consists of the settings, the clock, the error hierarchy
+and the typed ids.  Everything else is used through the daemon ``pearrund``
+and the command-line tool ``pearrun``.
 """
 
 import importlib
@@ -22,9 +22,9 @@
     'load_settings',
 ]
 
-# Loaded when first used: the settings bring pydantic, which programs on
-# the users' platform do not need and pay for in memory.
-LAZY = {
+# Imported on first use: the settings import pydantic, which processes on
+# the users' platform do not need and which would cost them memory.
+LAZY_IMPORTS = {
     'Settings': 'Settings',
     'TeamTree': 'TeamTree',
     'load_settings': 'load',
@@ -32,6 +32,8 @@
 
 
 def __getattr__(name):
-    if name not in LAZY:
+    if name not in LAZY_IMPORTS:
         raise AttributeError(f'module {__name__!r} has no {name!r}')
-    return getattr(importlib.import_module('pearrun.api.settings'), LAZY[name])
+    return getattr(
+        importlib.import_module('pearrun.api.settings'), LAZY_IMPORTS[name]
+    )
--- a/pearrun/backoff.py
+++ b/pearrun/backoff.py
@@ -1,4 +1,4 @@
-"""Pauses between tries: exponential, capped, with full jitter."""
+"""Delays between attempts: exponential, capped, with jitter."""
 
 import asyncio
 import dataclasses
@@ -9,10 +9,14 @@
 
 @dataclasses.dataclass
 class Backoff:
-    """Spaces out the tries of one piece of work.
+    """Delays the repeated attempts of one operation.
 
-    The jitter keeps a burst of requests that failed together from
-    coming back together.
+    The jitter keeps requests that failed together from being retried
+    together.
+
+    :param base_ms: longest first delay.
+    :param cap_ms: longest delay.
+    :param attempts: attempts made so far.
     """
 
     base_ms: int = 20
@@ -20,11 +24,11 @@
     attempts: int = 0
 
     def next_ms(self):
-        """Return the next pause in milliseconds, and count a try."""
+        """Return the next delay in milliseconds and count an attempt."""
         ceiling = min(self.cap_ms, self.base_ms * 2 ** min(self.attempts, 16))
         self.attempts += 1
         return random.uniform(ceiling / 2, ceiling)
 
     async def pause(self):
-        """Sleep for the next pause."""
+        """Sleep for the next delay."""
         await asyncio.sleep(to_seconds(self.next_ms()))
--- a/pearrun/burn.py
+++ b/pearrun/burn.py
@@ -1,10 +1,10 @@
-"""Service-level burn: how fast each service spends its error budget.
+"""Burn rate: how fast each service consumes its error budget.
 
 For each service and each latency target (time to first token, time
-between tokens, whole answer) the report gives the share of requests
-over the target and the burn rate: that share divided by the budget
-``1 - objective``.  A burn rate above 1 spends the budget faster than
-the objective allows.
+between tokens, time to the complete answer) the report gives the share of
+requests over the target and the burn rate: that share divided by the error
+budget ``1 - objective``.  A burn rate above 1 consumes the budget faster
+than the objective allows.
 """
 
 import dataclasses
@@ -16,7 +16,12 @@
 
 @dataclasses.dataclass(frozen=True)
 class BurnLine:
-    """One line of the burn report."""
+    """One line of the report: a service and one of its targets.
+
+    :param measure: the latency that the target is set for.
+    :param count: requests measured.
+    :param over: requests above the target.
+    """
 
     service: str
     measure: str
@@ -27,8 +32,8 @@
     burn_rate: float
 
 
-def count_over(histogram, limit_ms):
-    """Count recorded values above ``limit_ms``."""
+def count_above(histogram, limit_ms):
+    """Return how many recorded values are above ``limit_ms``."""
     over = 0
     for item in histogram.get_recorded_iterator():
         if item.value_iterated_to > limit_ms:
@@ -40,7 +45,7 @@
     """Build the burn report from daemons' ``/v1/metrics`` bodies.
 
     :param bodies: a list of metrics bodies, one per daemon.
-    :param tree: the :class:`TeamTree` giving each service's targets.
+    :param tree: the :class:`TeamTree` with each service's targets.
     :returns: a list of :class:`BurnLine`.
     """
     by_service = {}
@@ -58,7 +63,7 @@
             histogram = metrics.merge(d[measure] for d in by_service[service])
             count = histogram.get_total_count()
             limit = getattr(targets, field)
-            over = count_over(histogram, limit)
+            over = count_above(histogram, limit)
             rate = (over / count) / budget if count else 0.0
             lines.append(
                 BurnLine(
@@ -75,7 +80,7 @@
 
 
 def format_report(lines):
-    """Return the burn report as a readable table."""
+    """Return the burn report as a text table."""
     header = (
         f'{"service":<18} {"measure":<6} {"target":>7} {"count":>6} '
         f'{"over":>5} {"p95":>7} {"burn":>6}'
--- a/pearrun/cli.py
+++ b/pearrun/cli.py
@@ -3,18 +3,19 @@
 Commands::
 
     pearrun config apply FILE [--team=NAME]   publish the team tree
-    pearrun config show                       print the tree in force
+    pearrun config show                       print the current tree
     pearrun status                            each daemon's state
-    pearrun drain ENDPOINT                    stop new work to it
-    pearrun burn                              service-level burn report
+    pearrun drain ENDPOINT                    send it no new work
+    pearrun burn                              report of error budget burn
     pearrun workload FILE                     send a burst, check answers
-    pearrun bench FILE [--out=JSON] [--plot=PNG]   load and experiment tool
-    pearrun wait URL...                       wait for /healthz to answer
-    pearrun explain REQUEST_ID [LOG...]       a request's path, from the logs
-                                              of platform hosts; - for stdin
+    pearrun bench FILE [--out=JSON] [--plot=PNG]   run a load experiment
+    pearrun wait URL...                       wait until /healthz answers 200
+    pearrun explain REQUEST_ID [LOG...]       a request's time line, from the
+                                              logs of platform hosts; - for
+                                              stdin
     pearrun losses [LOG...] [--span_s=2]      which calls were lost, when and
-                                              why; --span_s: a row's seconds
-    pearrun help                              this text
+                                              why; --span_s: seconds per row
+    pearrun help                              print this help
 """
 
 import asyncio
@@ -40,9 +41,9 @@
 from pearrun.bench import report
 from pearrun.bench import workload
 
-# Longest wait for the log service.  A daemon gives up after 2 s and asks
-# again; a command asks once, and on a busy machine its connection alone took
-# over a second.
+# Timeout of calls to the log service.  A daemon times out after 2 s and
+# retries; a command calls only once, and on a loaded machine connecting
+# alone has taken over a second.
 LOG_TIMEOUT_MS = 15_000
 
 FLAGS = flags.FLAGS
@@ -51,16 +52,18 @@
 )
 flags.DEFINE_string('log_url', 'http://127.0.0.1:8201', 'Log service URL.')
 flags.DEFINE_string('config_stream', 'config', 'Config stream name.')
-flags.DEFINE_string('out', None, 'bench: write the report here as JSON.')
-flags.DEFINE_string('plot', None, 'bench: draw latency and cost here (PNG).')
-flags.DEFINE_float('span_s', 2.0, 'losses: seconds of a row.')
+flags.DEFINE_string('out', None, 'bench: file for the report, as JSON.')
+flags.DEFINE_string(
+    'plot', None, 'bench: file for the latency and cost plot (PNG).'
+)
+flags.DEFINE_float('span_s', 2.0, 'losses: seconds per row.')
 flags.DEFINE_string('team', None, 'config apply: publish only this team.')
 
 USAGE = __doc__
 
 
-def log_client(session):
-    """Return a :class:`LogClient` from the command-line flags."""
+def make_log_client(session):
+    """Return a :class:`LogClient` configured by the flags."""
     platform = settings_module.PlatformSettings(
         log_url=FLAGS.log_url,
         config_stream=FLAGS.config_stream,
@@ -70,11 +73,11 @@
 
 
 async def apply_config(path):
-    """Publish a team tree; print its version."""
+    """Publish a team tree and print its version."""
     tree = settings_module.load_yaml(path, settings_module.TeamTree)
     async with aiohttp.ClientSession() as session:
         version, offset = await config.publish(
-            log_client(session), FLAGS.config_stream, tree, FLAGS.team
+            make_log_client(session), FLAGS.config_stream, tree, FLAGS.team
         )
     print(f'published version {version} at offset {offset}')
 
@@ -83,13 +86,16 @@
     """Print the latest published team tree."""
     async with aiohttp.ClientSession() as session:
         tree, _ = await config.read_latest(
-            log_client(session), FLAGS.config_stream
+            make_log_client(session), FLAGS.config_stream
         )
     print(config.tree_to_yaml(tree) if tree else 'nothing published')
 
 
 async def fetch_all(path):
-    """GET ``path`` from every daemon; unreachable ones give ``None``."""
+    """Request ``path`` from every daemon.
+
+    :returns: the decoded bodies; ``None`` for an unreachable daemon.
+    """
     async with aiohttp.ClientSession() as session:
         bodies = []
         for url in FLAGS.daemons:
@@ -119,11 +125,11 @@
 
 
 async def show_burn():
-    """Print the service-level burn report of all daemons."""
+    """Print the burn report of all daemons."""
     bodies = [b for b in await fetch_all('/v1/metrics') if b]
     async with aiohttp.ClientSession() as session:
         tree, _ = await config.read_latest(
-            log_client(session), FLAGS.config_stream
+            make_log_client(session), FLAGS.config_stream
         )
     if tree is None:
         print('no configuration published')
@@ -132,7 +138,7 @@
 
 
 async def run_workload(path):
-    """Send a workload burst, print every answer, then the burn report."""
+    """Send a burst of requests; print the answers and the burn report."""
     load = workload.load(path)
     total = sum(item.repeat for item in load.requests)
     print(f'sending {total} requests to {len(FLAGS.daemons)} daemons ...')
@@ -152,10 +158,10 @@
 
 
 async def run_bench(path):
-    """Play a bench file; print its table, write JSON and plot."""
-    played = experiment.Experiment(plan.load(path))
-    rounds = await played.run()
-    figures = report.build_report(rounds, played.tree)
+    """Run an experiment; print its table, write JSON and the plot."""
+    trial = experiment.Experiment(plan.load(path))
+    rounds = await trial.run()
+    figures = report.build_report(rounds, trial.tree)
     print(report.format_report(figures))
     if FLAGS.out:
         with open(FLAGS.out, 'w', encoding='utf-8') as handle:
@@ -165,9 +171,9 @@
 
 
 async def wait_healthy(urls, timeout_s=30.0):
-    """Wait until every URL's ``/healthz`` answers 200.
+    """Wait until ``/healthz`` of every URL answers 200.
 
-    :raises PearrunError: some did not answer within ``timeout_s``.
+    :raises PearrunError: one did not within ``timeout_s``.
     """
     loop = asyncio.get_running_loop()
     deadline = loop.time() + timeout_s
@@ -188,7 +194,7 @@
 def read_logs(paths):
     """Read the hosts' logs.
 
-    :param paths: log files; standard input where there are none.
+    :param paths: log files; ``-`` or no path means standard input.
     :returns: a list of :class:`LogLine`.
     :raises InputFileError: a file cannot be read.
     """
@@ -206,12 +212,15 @@
 
 
 def explain_request(request_id, paths):
-    """Print a request's time line; see :func:`read_logs`."""
+    """Print a request's time line.
+
+    :param paths: see :func:`read_logs`.
+    """
     print('\n'.join(explain.explain(read_logs(paths), request_id)))
 
 
 async def run_explain(request_id, paths):
-    """Explain a request; a command like the others."""
+    """Run :func:`explain_request` as a command."""
     explain_request(request_id, paths)
 
 
@@ -222,12 +231,12 @@
 
 
 async def show_help():
-    """Print the commands."""
+    """Print the usage text."""
     print(USAGE)
 
 
-def dispatch(args):
-    """Return the command named by the positional arguments."""
+def make_command(args):
+    """Return the coroutine of the command named by the arguments."""
     match args:
         case ['help']:
             return show_help()
@@ -255,8 +264,8 @@
 
 
 def main(argv):
-    """Parse the command and run it on uvloop."""
-    command = dispatch(argv[1:])
+    """Parse the command line and run the command on uvloop."""
+    command = make_command(argv[1:])
     try:
         uvloop.run(command)
     except exceptions.PearrunError as exc:
@@ -267,6 +276,6 @@
 def run():
     """Entry point of the ``pearrun`` script."""
     if sys.argv[1:] in ([], ['--help'], ['-h']):
-        # absl's own help names only flags and exits with 1.
+        # absl's own help lists only the flags and exits with 1.
         sys.argv[1:] = ['help']
     absl_app.run(main)
--- a/pearrun/clock.py
+++ b/pearrun/clock.py
@@ -1,4 +1,4 @@
-"""Milliseconds: the one clock type pearrun uses."""
+"""Clocks and durations in milliseconds."""
 
 import dataclasses
 import time
@@ -11,19 +11,19 @@
 class Clock:
     """Reads time in whole milliseconds.
 
-    Monotonic time is for timeouts and latencies; wall time is only for
-    records that leave the process.
+    Monotonic time is used for timeouts and latencies; wall-clock time only
+    for records that leave the process.
     """
 
     def now(self) -> Millis:
         """Return monotonic time.
 
-        :returns: milliseconds since an arbitrary start.
+        :returns: milliseconds since an arbitrary point.
         """
         return Millis(time.monotonic_ns() // 1_000_000)
 
     def boot(self) -> Millis:
-        """Return monotonic time that also counts while suspended.
+        """Return monotonic time that includes time in suspend.
 
         :returns: milliseconds since the host started.
         """
@@ -46,7 +46,7 @@
 
 
 def to_seconds(value: Millis) -> float:
-    """Convert milliseconds to seconds for library calls.
+    """Convert milliseconds to seconds, as library calls take them.
 
     :param value: a duration in milliseconds.
     :returns: the same duration in seconds.
--- a/pearrun/exceptions.py
+++ b/pearrun/exceptions.py
@@ -1,18 +1,18 @@
-"""All errors pearrun raises, each with a numbered code.
+"""All errors that pearrun raises, each with a numeric code.
 
-The table of codes is in ``docs/errors.md``; keep both in step.
+The codes are listed in ``docs/errors.md``; update both together.
 """
 
 
 class PearrunError(Exception):
-    """Base of every pearrun error.
+    """Base class of all pearrun errors.
 
-    :param message: what went wrong, for people.
-    :param retry_after_s: seconds after which the caller may try again,
-        or ``None`` when trying again will not help.
+    :param message: a description for operators and callers.
+    :param retry_after_s: seconds after which the caller may retry, or
+        ``None`` if a retry would not help.
 
-    ``not_run`` is true only where the request has not run and never
-    will; where that cannot be known it stays false.
+    ``not_run`` is true only if the request has not run and never will; it
+    is false if that is unknown.
     """
 
     code = 1000
@@ -25,7 +25,7 @@
         self.retry_after_s = retry_after_s
 
     def to_body(self):
-        """Return the error as a JSON-ready body.
+        """Return the error as a JSON-serializable body.
 
         :returns: ``{"error": {"code": int, "type": str, "message": str,
             "not_run": bool, "retry_after_s": int or None}}``
@@ -42,7 +42,7 @@
 
 
 class SettingsError(PearrunError):
-    """A settings file is unreadable or breaks a rule."""
+    """A settings file is unreadable or invalid."""
 
     code = 1100
     http_status = 400
@@ -55,7 +55,7 @@
 
 
 class SettingsValueError(SettingsError):
-    """A settings key is missing, unknown or has a bad value."""
+    """A settings key is missing, unknown or has an invalid value."""
 
     code = 1102
 
@@ -68,7 +68,7 @@
 
 
 class BadRequestError(PearrunError):
-    """A caller's request body or headers are wrong."""
+    """The body or headers of a caller's request are invalid."""
 
     code = 1200
     http_status = 400
@@ -90,28 +90,28 @@
 
 
 class UnknownRouteError(BadRequestError):
-    """No route of the configuration takes the request."""
+    """No configured route matches the request."""
 
     code = 1205
     http_status = 404
 
 
 class UnknownKeyError(BadRequestError):
-    """The request's key is no customer's."""
+    """The request's API key belongs to no customer."""
 
     code = 1206
     http_status = 401
 
 
 class UnknownRequestError(PearrunError):
-    """No request with this id is known here."""
+    """No request with this id is known."""
 
     code = 1300
     http_status = 404
 
 
 class CapacityError(PearrunError):
-    """The system gave up on the request; come back after Retry-After."""
+    """The request was refused; it may be retried after Retry-After."""
 
     code = 1400
     http_status = 503
@@ -119,35 +119,35 @@
 
 
 class NoEndpointError(CapacityError):
-    """No live endpoint can serve the request's service."""
+    """No live endpoint serves the requested service."""
 
     code = 1401
 
 
 class JournalUnavailableError(CapacityError):
-    """The platform log service could not record the acceptance."""
+    """The platform's log service could not record the acceptance."""
 
     code = 1402
 
 
 class RateLimitedError(CapacityError):
-    """The platform log service refused the append for its rate limit."""
+    """The platform's log service refused an append: rate limit exceeded."""
 
     code = 1403
     http_status = 429
 
 
 class AmbiguousAppendError(JournalUnavailableError):
-    """An append may or may not have happened: its answer was lost."""
+    """An append may or may not have happened: no response arrived."""
 
     code = 1404
     not_run = False
 
 
 class ExpiredOffsetError(PearrunError):
-    """An offset fell out of the log service's retention window.
+    """An offset is older than the log service's retention window.
 
-    :param first_offset: the oldest offset the service still holds.
+    :param first_offset: the oldest offset that is retained.
     """
 
     code = 1405
@@ -159,7 +159,7 @@
 
 
 class StreamSealedError(CapacityError):
-    """Another host sealed this host's journal and took its requests."""
+    """Another host sealed this host's journal and took over its requests."""
 
     code = 1406
 
@@ -172,26 +172,26 @@
 
 
 class NoConfigurationError(CapacityError):
-    """This host knows no configuration, or one that may be old."""
+    """This host has no configuration, or one that may be outdated."""
 
     code = 1408
 
 
 class QuarantinedError(CapacityError):
-    """The request is kept from endpoints: several crashed under it."""
+    """The request is not run: several endpoints crashed while running it."""
 
     code = 1409
 
 
 class RequestMovingError(PearrunError):
-    """Its host is out of reach or being taken over; ask again."""
+    """The request's host is unreachable or being taken over; retry."""
 
     code = 1301
     http_status = 503
 
 
 class IdempotencyMismatchError(BadRequestError):
-    """An Idempotency-Key was used again with a different request."""
+    """An Idempotency-Key was reused with a different request."""
 
     code = 1204
     http_status = 422
@@ -218,47 +218,47 @@
 
 
 class OutcomeUnknownError(PearrunError):
-    """A non-idempotent call may have run; it is not repeated."""
+    """A non-idempotent call may have run; it is not retried."""
 
     code = 1502
     http_status = 502
 
 
 class EndpointRefusedError(BackendError):
-    """An engine refuses the request itself (HTTP 4xx)."""
+    """An engine rejected the request itself (HTTP 4xx)."""
 
     code = 1503
 
 
 class EndpointUnreachableError(BackendError):
-    """No connection to the endpoint stood, so nothing ran there."""
+    """No connection to the endpoint could be opened; nothing ran there."""
 
     code = 1504
 
 
 class EndpointSilentError(EndpointUnreachableError):
-    """Nothing answered an attempt to connect to the endpoint."""
+    """An attempt to connect to the endpoint timed out."""
 
     code = 1507
 
 
 class EndpointDownError(EndpointUnreachableError):
-    """Nothing listens at the endpoint's address."""
+    """The endpoint refused the connection: nothing listens there."""
 
     code = 1508
 
 
 class CrashedEndpointsError(BackendError):
-    """Endpoints crashed under the request; it is given up."""
+    """Endpoints crashed while running the request; it is not retried."""
 
     code = 1509
 
 
 class ConnectionBrokenError(BackendError):
-    """A connection ended before the response on it was complete.
+    """A connection ended before its response was complete.
 
-    :param silent: whether its other end stopped answering, as it does
-        behind a cut path; otherwise it was closed or reset.
+    :param silent: whether the peer stopped responding, as in a network
+        partition; otherwise it closed or reset the connection.
     """
 
     code = 1505
@@ -269,15 +269,15 @@
 
 
 def is_peer_silent(error):
-    """Say whether an error means that nothing answered on a connection.
+    """Return whether an error means that the peer stopped responding.
 
-    :param error: what ended a request: an exception.
+    :param error: the exception that ended a request.
     """
     return isinstance(error, TimeoutError) or getattr(error, 'silent', False)
 
 
 class MismatchedAnswerError(BackendError):
-    """An endpoint's answer is not one to this request."""
+    """An endpoint's response belongs to another request."""
 
     code = 1506
 
@@ -290,15 +290,15 @@
 
 
 class StoreUnavailableError(StoreError):
-    """The store gave no answer, or said it did nothing."""
+    """The store did not respond, or reported that nothing was done."""
 
     code = 1801
 
 
 class StoreConflictError(StoreError):
-    """A conditional append found another end of the log.
+    """A conditional append failed: the log ends at another offset.
 
-    :param end: the offset at which the partition ends, where known.
+    :param end: the offset at which the partition ends, if known.
     """
 
     code = 1802
@@ -309,9 +309,9 @@
 
 
 class DutyCallError(PearrunError):
-    """The platform did not take a call of a duty.
+    """The platform did not accept a duty's call.
 
-    :param status: its HTTP status; 0 where none came.
+    :param status: the HTTP status; 0 if there was no response.
     """
 
     code = 1810
@@ -323,14 +323,14 @@
 
 
 class LeaseEndedError(PearrunError):
-    """The lease ended before a call of a duty was sent."""
+    """The lease ended before a duty's call was sent."""
 
     code = 1811
     http_status = 503
 
 
 class WireFormatError(PearrunError):
-    """A message of the platform cannot be decoded."""
+    """A message from the platform cannot be decoded."""
 
     code = 1820
 
@@ -343,21 +343,21 @@
 
 
 class ForeignBranchError(PearrunError):
-    """A team's change touches another team's branch."""
+    """A team's change modifies another team's branch."""
 
     code = 1602
     http_status = 403
 
 
 class StaleOrderError(PearrunError):
-    """An order carries an older fencing number than one already seen."""
+    """An order has an older fencing token than one already seen."""
 
     code = 1601
     http_status = 409
 
 
 class NotFoundError(PearrunError):
-    """An administrative target (endpoint, stream) does not exist."""
+    """The endpoint or stream of an administrative request is unknown."""
 
     code = 1700
     http_status = 404
@@ -411,10 +411,11 @@
 
 
 def from_body(body):
-    """Rebuild an error from its JSON body, read from a host or the log.
+    """Rebuild an error from its JSON body, as read from a host or the log.
 
-    :param body: a map as :meth:`PearrunError.to_body` returns it.
-    :returns: a :class:`PearrunError` of the class with that code.
+    :param body: a mapping as returned by :meth:`PearrunError.to_body`.
+    :returns: an instance of the class with that code, or of
+        :class:`PearrunError` if the code is unknown.
     """
     fields = body['error']
     error = BY_CODE.get(fields['code'], PearrunError)(fields['message'])
--- a/pearrun/explain.py
+++ b/pearrun/explain.py
@@ -1,8 +1,8 @@
-"""What happened to one request, from the hosts' structured logs.
+"""Time line of one request, from the hosts' structured logs.
 
-Reads what entry hosts write on standard output and puts together the
-request's own lines, what the host learnt of the endpoints it was sent
-to, and what else changed on that host around the time.
+Reads the logs that entry hosts write to standard output.  The time line
+has the request's own lines, the lines about the endpoints that it was sent
+to, and other state changes of the host around that time.
 """
 
 import dataclasses
@@ -10,13 +10,13 @@
 
 from pearrun import exceptions
 
-# How long before a request what the host learnt still bears on it: the
-# longest pause of an endpoint, and the age at which beliefs are old.
+# Seconds before a request in which lines may explain it: the longest time
+# for which an endpoint is avoided, or information about it is used.
 BEFORE_S = 5.0
-# How long after it the cause may show: heartbeats lapse, links are
-# given up.
+# Seconds after a request in which its cause may still be logged: heartbeats
+# time out and peer links are closed with a delay.
 AFTER_S = 3.0
-# Changes of a host that bear on all of its requests.
+# State changes of a host that affect all of its requests.
 HOST_EVENTS = frozenset(
     (
         'start',
@@ -30,7 +30,7 @@
         'peer link up',
     )
 )
-# Fields of each line that say nothing about the request.
+# Fields that every line has and that are not shown.
 COMMON_FIELDS = ('at', 'level', 'event', 'process', 'zone', 'dropped_lines')
 
 
@@ -38,7 +38,7 @@
 class LogLine:
     """One line of a host's log.
 
-    :param at: the host's time of day, in seconds.
+    :param at: Unix time in seconds, by the host's clock.
     """
 
     at: float
@@ -47,22 +47,22 @@
     fields: dict
 
     @property
-    def is_end(self):
-        """Whether it says how a request ended."""
+    def is_result(self):
+        """Whether the line reports how a request ended."""
         return self.event in ('call', 'rejected')
 
-    def endpoints(self):
-        """Return the ids of the endpoints it names."""
-        tries = self.fields.get('tries') or ()
-        return {item[0] for item in tries}
+    def get_endpoint_ids(self):
+        """Return the ids of the endpoints that a request was sent to."""
+        attempts = self.fields.get('tries') or ()
+        return {attempt[0] for attempt in attempts}
 
 
 def read_lines(sources):
-    """Read log lines; what is no line of a log is left out.
+    """Read log lines, skipping any text that is not a log line.
 
     :param sources: iterables of text lines.  Text before a line's first
-        brace, such as a collector's prefix, is ignored.
-    :returns: a list of :class:`LogLine`, in the order of their times.
+        brace, such as a log collector's prefix, is ignored.
+    :returns: a list of :class:`LogLine`, sorted by time.
     """
     lines = []
     for source in sources:
@@ -74,7 +74,10 @@
 
 
 def parse_line(text):
-    """Parse one line; ``None`` where it is none of ours."""
+    """Parse one line.
+
+    :returns: a :class:`LogLine`; ``None`` if it is not a log line.
+    """
     try:
         fields = json.loads(text[text.index('{') :])
         return LogLine(
@@ -85,60 +88,63 @@
 
 
 def explain(lines, request_id):
-    """Return a time line of one request, as lines of text.
+    """Return the time line of one request, as lines of text.
 
-    :param lines: :class:`LogLine` objects in order.
-    :raises UnknownRequestError: no line names it.
+    :param lines: :class:`LogLine` objects, sorted by time.
+    :raises UnknownRequestError: no line reports the request.
     """
-    ends = [
+    results = [
         line
         for line in lines
-        if line.is_end and line.fields.get('request_id') == request_id
+        if line.is_result and line.fields.get('request_id') == request_id
     ]
-    if not ends:
+    if not results:
         raise exceptions.UnknownRequestError(
-            f'no line names request {request_id!r}'
+            f'no log line names request {request_id!r}'
         )
     text = []
-    for end in ends:
-        text.extend(explain_end(lines, end))
+    for result in results:
+        text.extend(explain_result(lines, result))
     return text
 
 
-def explain_end(lines, end):
-    """Return the time line of one request on one host."""
-    total_s = (end.fields.get('total_ms') or 0) / 1000
-    began = end.at - total_s
+def explain_result(lines, result):
+    """Return the time line of one request on one host.
+
+    :param result: the :class:`LogLine` that reports how it ended.
+    """
+    total_s = (result.fields.get('total_ms') or 0) / 1000
+    started_s = result.at - total_s
     related = [
         line
         for line in lines
-        if line is not end
-        and began - BEFORE_S <= line.at <= end.at + AFTER_S
-        and bears_on(line, end)
+        if line is not result
+        and started_s - BEFORE_S <= line.at <= result.at + AFTER_S
+        and is_related(line, result)
     ]
     events = [(line.at, describe(line)) for line in related]
-    events.extend(describe_tries(end, began))
-    events.append((end.at, describe(end)))
+    events.extend(describe_attempts(result, started_s))
+    events.append((result.at, describe(result)))
     events.sort(key=lambda event: event[0])
-    text = [f'request {end.fields["request_id"]} on {end.process}']
+    text = [f'request {result.fields["request_id"]} on {result.process}']
     text.extend(
-        f'{(at - began) * 1000:+9.0f} ms  {what}' for at, what in events
+        f'{(at - started_s) * 1000:+9.0f} ms  {what}' for at, what in events
     )
-    text.append(f'cause: {find_cause(end)}')
+    text.append(f'cause: {describe_cause(result)}')
     return text
 
 
-def bears_on(line, end):
-    """Say whether a line may have to do with a request's end."""
-    if line.process != end.process:
+def is_related(line, result):
+    """Return whether a line may explain how a request ended."""
+    if line.process != result.process:
         return False
     if line.event in HOST_EVENTS:
         return True
-    endpoints = end.endpoints()
-    if line.is_end:
+    endpoint_ids = result.get_endpoint_ids()
+    if line.is_result:
         failed = line.fields.get('ending') not in ('answered', 'refused')
-        return failed and bool(endpoints & line.endpoints())
-    return line.fields.get('endpoint') in endpoints
+        return failed and bool(endpoint_ids & line.get_endpoint_ids())
+    return line.fields.get('endpoint') in endpoint_ids
 
 
 def describe(line):
@@ -151,26 +157,26 @@
     return f'{line.event} {fields}'.rstrip()
 
 
-def describe_tries(end, began):
-    """Return the sends of a request as ``(time, text)``."""
+def describe_attempts(result, started_s):
+    """Return the attempts of a request as ``(time, text)`` pairs."""
     return [
         (
-            began + after_ms / 1000,
+            started_s + after_ms / 1000,
             f'sent to {endpoint}: {outcome or "answered"}',
         )
-        for endpoint, after_ms, outcome in end.fields.get('tries') or ()
+        for endpoint, after_ms, outcome in result.fields.get('tries') or ()
     ]
 
 
-def find_cause(end):
-    """Return in one sentence why a request ended as it did."""
-    fields = end.fields
+def describe_cause(result):
+    """Return the cause of a request's result, as a short text."""
+    fields = result.fields
     reason = fields.get('reason') or 'none given'
-    if end.event == 'rejected':
+    if result.event == 'rejected':
         return f'status {fields.get("status")}: {reason}'
     match fields.get('ending'), fields.get('reason'):
         case 'answered', _:
-            return 'none; the answer was passed on whole'
+            return 'none; the response was forwarded completely'
         case 'refused', 'quota':
             return (
                 f'{fields.get("customer")} was over its limit: '
@@ -179,11 +185,11 @@
             )
         case 'refused', 'overload':
             return (
-                f'a first token was expected after '
+                f'the first token was expected after '
                 f'{fields.get("expected_ms")} ms'
             )
         case 'refused', _:
-            return f'no endpoint took it: {reason}'
+            return f'no endpoint accepted it: {reason}'
         case 'caller_left', _:
             return 'the caller closed its connection'
         case 'timed_out', _:
--- a/pearrun/fingerprints.py
+++ b/pearrun/fingerprints.py
@@ -1,24 +1,25 @@
-"""Fingerprints, by which requests with the same content are known."""
+"""Fingerprints that identify requests with the same content."""
 
 import hashlib
 
 from pearrun.ids import Fingerprint
 
-# Hexadecimal digits of a digest that are kept.
-DIGITS = 24
-# Bytes in which the length of each part is written before it.
-LENGTH_BYTES = 8
+# Hexadecimal digits to which the digest is truncated.
+FINGERPRINT_DIGITS = 24
+# Size of the length prefix of each part.  With it, parts that are divided
+# differently give different fingerprints.
+LENGTH_PREFIX_BYTES = 8
 
 
 def make_fingerprint(*parts):
     """Return the fingerprint of a request.
 
-    :param parts: what requests are told apart by, as bytes, in an order
-        that the caller keeps to.
+    :param parts: the values that distinguish requests, as bytes, always
+        in the same order.
     :returns: a :class:`Fingerprint`.
     """
     digest = hashlib.sha256()
     for part in parts:
-        digest.update(len(part).to_bytes(LENGTH_BYTES, 'big'))
+        digest.update(len(part).to_bytes(LENGTH_PREFIX_BYTES, 'big'))
         digest.update(part)
-    return Fingerprint(digest.hexdigest()[:DIGITS])
+    return Fingerprint(digest.hexdigest()[:FINGERPRINT_DIGITS])
--- a/pearrun/http1/client.py
+++ b/pearrun/http1/client.py
@@ -136,7 +136,7 @@
         return b''.join(parts), False
 
     async def fetch(self, method, target, headers, body, limit):
-        """Send a request and read its whole response.
+        """Send a request and read its complete response.
 
         :param limit: most bytes of the body to read.
         :returns: a :class:`Response`.
--- a/pearrun/http1/server.py
+++ b/pearrun/http1/server.py
@@ -122,7 +122,7 @@
         except asyncio.CancelledError:
             pass
         except Exception:
-            logger.exception('connection failed')
+            logger.exception('unhandled error on a connection')
             self.abort()
         finally:
             if not self.transport.is_closing():
--- a/pearrun/ids.py
+++ b/pearrun/ids.py
@@ -1,4 +1,4 @@
-"""Typed identifiers used across pearrun."""
+"""Types of identifiers."""
 
 from typing import NewType
 
@@ -12,5 +12,5 @@
 Offset = NewType('Offset', int)
 HostName = NewType('HostName', str)
 RouteName = NewType('RouteName', str)
-PartId = NewType('PartId', str)
+PromptPartId = NewType('PromptPartId', str)
 Fingerprint = NewType('Fingerprint', str)
--- a/pearrun/logs.py
+++ b/pearrun/logs.py
@@ -1,8 +1,7 @@
 """Structured logging through loguru.
 
-Every line carries ``zone`` and, where known, ``request_id``,
-``customer`` and ``service``.  ``--log_format=json`` writes one JSON
-object per line.
+Every line has ``zone`` and, if known, ``request_id``, ``customer`` and
+``service``.  ``--log_format=json`` writes one JSON object per line.
 """
 
 import json
@@ -19,12 +18,12 @@
 
 
 def configure(process, zone='-', log_format='text', level='INFO'):
-    """Send this process's log lines to standard error.
+    """Write this process's log to standard error.
 
     :param process: a short name of the process, such as ``pearrund``.
     :param zone: the failure domain this process belongs to.
     :param log_format: ``text`` or ``json``.
-    :param level: the lowest level written.
+    :param level: the lowest level that is written.
     :returns: the bound loguru logger.
     """
     logger.remove()
@@ -36,20 +35,22 @@
     return logger
 
 
-# Most lines a second on standard output.  A host at four times its usual
-# load decides some 100 calls a second; what comes beyond is counted.
-LINES_PER_S = 400
-# Lines that may come at once, such as at a start.
-BURST_LINES = 800
-# Bytes kept while the descriptor does not take them.
-UNWRITTEN_BYTES = 64 * 1024
+# Most lines per second on standard output; further lines are dropped and
+# counted.  A host at four times its usual load handles about 100 calls per
+# second and logs one line for each.
+MAX_LINES_PER_S = 400
+# Lines that may be written in one burst, for example at start-up.
+MAX_BURST_LINES = 800
+# Most bytes buffered while the descriptor accepts no more.
+MAX_UNWRITTEN_BYTES = 64 * 1024
 
 
 class BoundedWriter:
-    """Writes log lines to a descriptor without ever blocking on it.
+    """Writes log lines to a file descriptor without blocking.
 
-    Lines beyond the rate, and lines the descriptor does not take, are
-    dropped and counted; the count is written with the next line.
+    Lines beyond the rate limit (a token bucket), and lines that arrive
+    while the buffer is full, are dropped and counted; the count is written
+    with the next line.
     """
 
     def __init__(self, descriptor, clock=time.monotonic):
@@ -58,29 +59,29 @@
         self.dropped = 0
         self.dropped_total = 0
         self._unwritten = b''
-        self._allowance = float(BURST_LINES)
+        self._allowance = float(MAX_BURST_LINES)
         self._updated = clock()
         os.set_blocking(descriptor, False)
 
     def write(self, message):
-        """Write one loguru message as a line of JSON."""
+        """Write a loguru message as a line of JSON."""
         now = self.clock()
-        earned = (now - self._updated) * LINES_PER_S
-        self._allowance = min(BURST_LINES, self._allowance + earned)
+        refill = (now - self._updated) * MAX_LINES_PER_S
+        self._allowance = min(MAX_BURST_LINES, self._allowance + refill)
         self._updated = now
         if self._allowance < 1:
             self._drop()
             return
         self._allowance -= 1
-        if len(self._unwritten) > UNWRITTEN_BYTES:
+        if len(self._unwritten) > MAX_UNWRITTEN_BYTES:
             self._drop()
             return
-        self._unwritten += to_line(message.record, self.dropped)
+        self._unwritten += encode_line(message.record, self.dropped)
         self.dropped = 0
         self._flush()
 
     def _flush(self):
-        """Write what the descriptor takes now; keep the rest in order."""
+        """Write what the descriptor accepts now; keep the remainder."""
         try:
             written = os.write(self.descriptor, self._unwritten)
         except BlockingIOError:
@@ -92,10 +93,10 @@
         self.dropped_total += 1
 
 
-def to_line(record, dropped):
+def encode_line(record, dropped):
     """Encode a loguru record as a line of JSON.
 
-    :param dropped: lines dropped since the last one written.
+    :param dropped: number of lines dropped since the last written one.
     """
     fields = {
         'at': record['time'].timestamp(),
@@ -111,8 +112,11 @@
 
 
 def configure_stdout(process, zone, level='INFO'):
-    """Send this process's log lines to standard output, bounded.
+    """Write this process's log to standard output, as JSON lines.
 
+    :param process: a short name of the process, such as ``pearrund``.
+    :param zone: the failure domain this process belongs to.
+    :param level: the lowest level that is written.
     :returns: the :class:`BoundedWriter`.
     """
     writer = BoundedWriter(sys.stdout.fileno())
--- a/pearrun/losses.py
+++ b/pearrun/losses.py
@@ -1,8 +1,7 @@
-"""Where calls were lost, from the hosts' structured logs.
+"""Report on lost calls, from the hosts' structured logs.
 
-Answers the questions after a bad day: which calls, at which moments, for
-which reason.  Calls are counted by span of time and by route, each under
-what became of it.
+Shows which calls were lost, when and for which reason.  Calls are counted
+by time span and by route, in one column for each result.
 """
 
 import collections
@@ -12,13 +11,13 @@
 from pearrun.metrics import new_histogram
 from pearrun.metrics import record
 
-# Percentile of the time to the first byte that the tables show.
+# Percentile of the time to the first byte in the tables.
 SHOWN_PERCENTILE = 95.0
 COLUMN_WIDTH = 10
 
 
-class Fate(enum.Enum):
-    """What became of a call, in the order of the tables' columns."""
+class CallResult(enum.Enum):
+    """Result of a call, in the order of the tables' columns."""
 
     IN_TIME = 'in time'
     LATE = 'late'
@@ -31,19 +30,26 @@
     CALLER_LEFT = 'left'
 
 
-FATES_BY_ENDING = {
-    'failed': Fate.FAILED,
-    'error': Fate.FAILED,
-    'broken_off': Fate.BROKEN_OFF,
-    'timed_out': Fate.TIMED_OUT,
-    'caller_left': Fate.CALLER_LEFT,
+RESULTS_BY_ENDING = {
+    'failed': CallResult.FAILED,
+    'error': CallResult.FAILED,
+    'broken_off': CallResult.BROKEN_OFF,
+    'timed_out': CallResult.TIMED_OUT,
+    'caller_left': CallResult.CALLER_LEFT,
+}
+RESULTS_BY_REASON = {
+    'quota': CallResult.OVER_QUOTA,
+    'overload': CallResult.OVERLOAD,
 }
-FATES_BY_REASON = {'quota': Fate.OVER_QUOTA, 'overload': Fate.OVERLOAD}
 
 
 @dataclasses.dataclass
 class Row:
-    """Calls of one span of time, or of one route."""
+    """Calls of one time span or of one route.
+
+    :param counts: number of calls by :class:`CallResult`.
+    :param first_ms: histogram of the times to the first byte.
+    """
 
     counts: collections.Counter = dataclasses.field(
         default_factory=collections.Counter
@@ -52,47 +58,56 @@
 
     def add(self, line):
         """Count a call's :class:`LogLine`."""
-        self.counts[find_fate(line.fields)] += 1
+        self.counts[classify_call(line.fields)] += 1
         first_ms = line.fields.get('first_ms')
         if first_ms is not None:
             record(self.first_ms, first_ms)
 
 
-def find_fate(fields):
-    """Return the :class:`Fate` that a call's log line tells of."""
+def classify_call(fields):
+    """Return the :class:`CallResult` of a call.
+
+    :param fields: the fields of the call's log line.
+    """
     ending = fields.get('ending')
     if ending == 'refused':
-        return FATES_BY_REASON.get(fields.get('reason'), Fate.REFUSED)
+        return RESULTS_BY_REASON.get(fields.get('reason'), CallResult.REFUSED)
     if ending != 'answered':
-        return FATES_BY_ENDING.get(ending, Fate.FAILED)
+        return RESULTS_BY_ENDING.get(ending, CallResult.FAILED)
     if fields.get('status', 0) >= 500:
-        return Fate.FAILED
+        return CallResult.FAILED
     target_ms = fields.get('target_ms') or 0
     first_ms = fields.get('first_ms') or 0
     late = target_ms and first_ms > target_ms
-    return Fate.LATE if late else Fate.IN_TIME
+    return CallResult.LATE if late else CallResult.IN_TIME
 
 
 def count_by_span(lines, span_s):
-    """Return a :class:`Row` by the second at which its span begins.
+    """Count calls by time span.
 
-    A call belongs to the span in which it came.
+    A call belongs to the span in which it arrived.
 
     :param lines: :class:`LogLine` objects.
+    :param span_s: length of a span in seconds.
+    :returns: :class:`Row` objects by the start of their span, in seconds
+        since the first call.
     """
     calls = [line for line in lines if line.event == 'call']
     if not calls:
         return {}
-    start = min(begin_of(line) for line in calls)
+    start = min(get_arrival_s(line) for line in calls)
     rows = collections.defaultdict(Row)
     for line in calls:
-        span = int((begin_of(line) - start) // span_s * span_s)
-        rows[span].add(line)
+        span_start_s = int((get_arrival_s(line) - start) // span_s * span_s)
+        rows[span_start_s].add(line)
     return dict(sorted(rows.items()))
 
 
 def count_by_route(lines):
-    """Return a :class:`Row` by route."""
+    """Count calls by route.
+
+    :returns: :class:`Row` objects by route name.
+    """
     rows = collections.defaultdict(Row)
     for line in lines:
         if line.event == 'call':
@@ -100,43 +115,48 @@
     return dict(sorted(rows.items()))
 
 
-def begin_of(line):
-    """Return when a call came, in seconds of its host's time of day."""
+def get_arrival_s(line):
+    """Return when a call arrived: Unix time in seconds, by its host."""
     return line.at - (line.fields.get('total_ms') or 0) / 1000.0
 
 
 def render(title, rows):
-    """Return the lines of a table; columns without any call are left out.
+    """Return the lines of a table; columns without calls are omitted.
 
-    :param title: what the rows' names are.
-    :param rows: :class:`Row` by name.
+    :param title: heading of the column of row names.
+    :param rows: :class:`Row` objects by name.
     """
     shown = [
-        fate for fate in Fate if any(row.counts[fate] for row in rows.values())
+        result
+        for result in CallResult
+        if any(row.counts[result] for row in rows.values())
     ]
     width = max([len(title), *(len(str(name)) for name in rows)])
-    heads = ['calls', *(fate.value for fate in shown), 'p95 ms']
-    lines = [title.ljust(width) + ''.join(pad(head) for head in heads)]
+    headings = ['calls', *(result.value for result in shown), 'p95 ms']
+    lines = [
+        title.ljust(width)
+        + ''.join(format_cell(heading) for heading in headings)
+    ]
     for name, row in rows.items():
         cells = [
             sum(row.counts.values()),
-            *(row.counts[fate] for fate in shown),
+            *(row.counts[result] for result in shown),
             row.first_ms.get_value_at_percentile(SHOWN_PERCENTILE),
         ]
-        lines.append(str(name).ljust(width) + ''.join(map(pad, cells)))
+        lines.append(str(name).ljust(width) + ''.join(map(format_cell, cells)))
     return lines
 
 
-def pad(cell):
+def format_cell(cell):
     """Return a cell's text, right-aligned."""
     return str(cell).rjust(COLUMN_WIDTH)
 
 
 def render_losses(lines, span_s):
-    """Return both tables, as lines of text.
+    """Return the tables by time span and by route, as lines of text.
 
     :param lines: :class:`LogLine` objects of all hosts.
-    :param span_s: seconds of a row of the first table.
+    :param span_s: seconds per row of the first table.
     """
     return [
         *render('from s', count_by_span(lines, span_s)),
--- a/pearrun/metrics.py
+++ b/pearrun/metrics.py
@@ -1,4 +1,4 @@
-"""Latency metrics per service, kept in HDR histograms."""
+"""Latency metrics of services, in HDR histograms."""
 
 import dataclasses
 
@@ -12,7 +12,7 @@
 
 @dataclasses.dataclass
 class ServiceMetrics:
-    """Histograms and counters for one service on one daemon."""
+    """Histograms and counters of one service on one daemon."""
 
     ttft: HdrHistogram = dataclasses.field(
         default_factory=lambda: new_histogram()
@@ -33,10 +33,10 @@
     adopted: int = 0
 
     def to_body(self):
-        """Return counters and encoded histograms, JSON-ready.
+        """Return counters and encoded histograms, JSON-serializable.
 
-        Histograms are HdrHistogram's own compressed encoding, so a
-        reader can add histograms from many daemons without loss.
+        Histograms have HdrHistogram's compressed encoding, so that those of
+        several daemons can be merged without loss of precision.
         """
         return {
             'accepted': self.accepted,
@@ -54,10 +54,10 @@
 
 
 class MetricsTable(dict):
-    """Metrics of every service of one daemon, by service name."""
+    """Metrics of one daemon, by service name."""
 
     def get_or_create(self, service):
-        """Return the :class:`ServiceMetrics` of a service."""
+        """Return a service's :class:`ServiceMetrics`; create it if new."""
         if service not in self:
             self[service] = ServiceMetrics()
         return self[service]
@@ -69,7 +69,7 @@
 
 
 def record(histogram, value_ms):
-    """Record a latency, clamped into the histogram's range.
+    """Record a latency, clamped to the histogram's range.
 
     :param histogram: an :class:`HdrHistogram`.
     :param value_ms: the latency in milliseconds.
@@ -78,12 +78,12 @@
 
 
 def decode(encoded):
-    """Turn an encoded histogram back into an :class:`HdrHistogram`."""
+    """Decode a histogram from :meth:`ServiceMetrics.to_body`."""
     return HdrHistogram.decode(encoded.encode('ascii'))
 
 
 def merge(encoded_list):
-    """Add several encoded histograms into one.
+    """Merge several encoded histograms into one.
 
     :param encoded_list: strings from :meth:`ServiceMetrics.to_body`.
     :returns: one :class:`HdrHistogram`.
@@ -95,7 +95,7 @@
 
 
 def summarize(histogram):
-    """Return count and percentiles of a histogram in milliseconds."""
+    """Return a histogram's count and its percentiles in milliseconds."""
     body = {'count': histogram.get_total_count()}
     for pct in PERCENTILES:
         body[f'p{pct:g}'] = histogram.get_value_at_percentile(pct)
--- a/pearrun/relay/relay.py
+++ b/pearrun/relay/relay.py
@@ -283,7 +283,7 @@
         trace.fingerprint = call.fingerprint
         trace.end(Ending.REFUSED, 503)
         error = exceptions.QuarantinedError(
-            'endpoints crashed under this request', to_seconds(left_ms)
+            'endpoints crashed while running this request', to_seconds(left_ms)
         )
         await self._reply_error(caller, error, 503)
 
--- a/pearrun/shared/prompts.py
+++ b/pearrun/shared/prompts.py
@@ -3,14 +3,14 @@
 import dataclasses
 
 from pearrun.ids import EndpointId
-from pearrun.ids import PartId
+from pearrun.ids import PromptPartId
 
 
 @dataclasses.dataclass(frozen=True)
 class PromptPart:
     """A part of a prompt; parts with one id hold the same tokens."""
 
-    id: PartId
+    id: PromptPartId
     tokens: int
 
 
@@ -35,4 +35,4 @@
     """That a prompt was sent to an endpoint, which now caches its parts."""
 
     endpoint_id: EndpointId
-    part_ids: tuple[PartId, ...]
+    part_ids: tuple[PromptPartId, ...]
--- a/pearrun/states.py
+++ b/pearrun/states.py
@@ -1,10 +1,10 @@
-"""States of requests and endpoints."""
+"""States and kinds of requests, endpoints, services and daemons."""
 
 import enum
 
 
 class RequestState(enum.Enum):
-    """Where a request stands, as a caller can see it."""
+    """State of a request, as reported to its caller."""
 
     ACCEPTED = 'accepted'
     RUNNING = 'running'
@@ -14,7 +14,7 @@
 
 
 class EndpointState(enum.Enum):
-    """Whether an endpoint may receive new work."""
+    """State of an endpoint; only live ones receive new work."""
 
     LIVE = 'live'
     LEAVING = 'leaving'
@@ -22,14 +22,14 @@
 
 
 class BackendKind(enum.Enum):
-    """What stands behind an endpoint."""
+    """What an endpoint runs: a model engine or a plain service."""
 
     ENGINE = 'engine'
     SERVICE = 'service'
 
 
 class Priority(enum.Enum):
-    """How urgent a service's requests are; lower value runs first."""
+    """Priority of a service's requests; the lowest value runs first."""
 
     INTERACTIVE = 0
     NORMAL = 1
@@ -37,7 +37,7 @@
 
 
 class RoutingKind(enum.Enum):
-    """How a service's requests are spread over its endpoints."""
+    """How a service's requests are distributed over its endpoints."""
 
     AFFINITY = 'affinity'
     ZONE_AFFINITY = 'zone_affinity'
@@ -46,7 +46,7 @@
 
 
 class MemberState(enum.Enum):
-    """What a daemon says of itself in its beats."""
+    """State of a daemon, as reported in its heartbeats."""
 
     LIVE = 'live'
     STOPPING = 'stopping'
--- a/tests/crashes.py
+++ b/tests/crashes.py
@@ -1,4 +1,4 @@
-"""Builders of sites on which some requests crash endpoints."""
+"""Helpers for sites on which a request crashes the endpoints it runs on."""
 
 import asyncio
 import contextlib
@@ -11,12 +11,12 @@
 
 CRASHING = b'a body that crashes endpoints'
 STREAMS = ('/short/', '/long/')
-# Longer than it takes until all hosts know of a crash that is not proven yet.
-SPREAD_S = 0.5
+# Longer than it takes all hosts to learn of a suspected, unproven crash.
+CRASH_REPORT_S = 0.5
 
 
 def list_runners(count):
-    """Return names and services: so many endpoints of each service."""
+    """Return the names and services of ``count`` endpoints per service."""
     return [
         (f'{service}-{number}', service)
         for service in ('plain', 'model')
@@ -26,21 +26,25 @@
 
 @contextlib.asynccontextmanager
 async def run_crashing_site(endpoints=16, hosts=3):
-    """Run a site on which :data:`CRASHING` crashes endpoints."""
+    """Run a site on which bodies of :data:`CRASHING` crash endpoints.
+
+    :param endpoints: number of endpoints per service.
+    :param hosts: number of hosts.
+    """
     runners = list_runners(endpoints)
     async with run_site(make_config(), runners, hosts) as site:
         for runner in site.runners.values():
             runner.faults.crash_on = CRASHING
-        beating = asyncio.create_task(site.keep_beating())
-        await wait_until_heard(site)
+        heartbeats = asyncio.create_task(site.keep_beating())
+        await wait_until_connected(site)
         try:
             yield site
         finally:
-            beating.cancel()
+            heartbeats.cancel()
 
 
-async def wait_until_heard(site):
-    """Wait until every host has heard all others."""
+async def wait_until_connected(site):
+    """Wait until every host receives reports from all others."""
     for daemon in site.hosts.values():
         members = daemon.host.members
         await wait_until(
@@ -51,7 +55,7 @@
 
 
 def count_crashed(site, path):
-    """Return how many endpoints a path's requests have crashed."""
+    """Return how many endpoints requests to a path have crashed."""
     return sum(runner.crashed_by == path for runner in site.runners.values())
 
 
@@ -62,10 +66,13 @@
 
 
 async def send_repeatedly(site, path, count, name='a'):
-    """Send the crashing request again and again, to one host after another.
+    """Send the crashing request repeatedly, to each host in turn.
 
-    Entries of crashed endpoints lapse meanwhile, as the platform's do.
+    After each request the entries of crashed endpoints are removed, as on
+    the platform, where they expire.
 
+    :param count: how often to send it.
+    :param name: part of the attempt ids, which must be unique.
     :returns: the :class:`Answer` objects.
     """
     hosts = list(site.hosts.values())
@@ -74,13 +81,13 @@
         host = hosts[number % len(hosts)]
         attempt = f'{path}-{name}{number}'
         answers.append(await send(host, path, attempt))
-        await asyncio.sleep(SPREAD_S)
+        await asyncio.sleep(CRASH_REPORT_S)
         remove_crashed(site)
     return answers
 
 
 def remove_crashed(site):
-    """Remove the entries of crashed endpoints."""
+    """Remove crashed endpoints from the endpoint list."""
     listed = site.store.topic('keyed.servers').newest
     for name, runner in site.runners.items():
         if runner.crashed_by and name in listed:
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -1,4 +1,4 @@
-"""The operator's commands."""
+"""Tests of the command-line tool."""
 
 import asyncio
 
@@ -9,8 +9,8 @@
 from tests.builders import free_port
 
 
-def test_a_slow_log_service_is_waited_for(capsys):
-    """A daemon would ask again; a command that gave up would just fail."""
+def test_commands_wait_for_a_slow_log_service(capsys):
+    """A daemon would retry after a time-out, but a command would fail."""
 
     async def answer(request):
         await asyncio.sleep(2.5)
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -1,4 +1,4 @@
-"""A request that crashes each endpoint which runs it comes again."""
+"""Quarantine of a request that is retried and crashes every endpoint."""
 
 import asyncio
 
@@ -12,60 +12,61 @@
 from tests.test_topology import play_with_hubs
 
 SENDS = 8
-# One call of these routes is sent to two endpoints by the host itself.
-REPEATED = ('/safe/', '/long/')
+# Routes whose calls a host retries, so that each runs on two endpoints.
+RETRIED = ('/safe/', '/long/')
 PATHS = ('/once/x', '/short/x', '/open/x', '/safe/x', '/long/x')
-# Pause between the begins of different requests, which must not overlap.
+# Delay between the starts of different requests, so that their first runs
+# do not overlap.
 STAGGER_S = 0.1
 
 
-def most_crashes(path):
-    """Return how many endpoints a request may crash until it is stopped."""
-    return 4 if path.startswith(REPEATED) else 3
+def get_max_crashes(path):
+    """Return how many endpoints may crash before the quarantine begins."""
+    return 4 if path.startswith(RETRIED) else 3
 
 
-def is_saved(site):
-    """Say whether a quarantine is on the store."""
+def is_quarantine_stored(site):
+    """Return whether the store has a quarantine."""
     return bool(site.store.topic('keyed.quarantine').newest)
 
 
-async def check_stopped(site, path, delay_s=0):
-    """Send a crashing request often; check that it is stopped."""
+async def check_quarantined(site, path, delay_s=0):
+    """Send a crashing request repeatedly; check that it is quarantined."""
     await asyncio.sleep(delay_s)
     answers = await send_repeatedly(site, path, SENDS)
-    assert count_crashed(site, path) <= most_crashes(path)
+    assert count_crashed(site, path) <= get_max_crashes(path)
     last = answers[-1]
     assert last.status == 503
     assert float(last.head.get(b'retry-after')) > 60
     assert last.json()['error']['not_run']
 
 
-def test_requests_that_come_again_crash_endpoint_after_endpoint():
+def test_retried_crashing_requests_are_quarantined():
     async def main():
         async with run_crashing_site() as site:
             async with asyncio.TaskGroup() as tasks:
                 for number, path in enumerate(PATHS):
                     delay_s = number * STAGGER_S
-                    tasks.create_task(check_stopped(site, path, delay_s))
+                    tasks.create_task(check_quarantined(site, path, delay_s))
 
     asyncio.run(main())
 
 
-def test_a_stream_that_breaks_after_its_first_events_crashes_endpoints():
+def test_streams_that_crash_endpoints_midway_are_quarantined():
     async def main():
         async with run_crashing_site() as site:
             for runner in site.runners.values():
                 runner.faults.crash_after = 2
-            await check_stopped(site, '/short/x')
+            await check_quarantined(site, '/short/x')
 
     asyncio.run(main())
 
 
-def test_hosts_that_start_again_forget_what_crashes_endpoints():
+def test_quarantine_survives_a_restart_of_all_hosts():
     async def main():
         async with run_crashing_site() as site:
             await send_repeatedly(site, '/once/x', 4)
-            await wait_until(lambda: is_saved(site))
+            await wait_until(lambda: is_quarantine_stored(site))
             for daemon in list(site.hosts.values()):
                 await daemon.end()
             crashed = count_crashed(site, '/once/x')
@@ -79,28 +80,30 @@
     asyncio.run(main())
 
 
-def test_a_host_that_comes_later_does_not_know_what_crashes_endpoints():
+def test_a_new_host_learns_the_quarantine_from_other_hosts():
     async def main():
         async with run_crashing_site() as site:
             await send_repeatedly(site, '/once/x', 4)
-            await wait_until(lambda: is_saved(site))
-            # It cannot read the store's topic of the quarantine.
+            await wait_until(lambda: is_quarantine_stored(site))
+            # Without the topic, the new host cannot read it from the store.
             site.store.topics.pop('keyed.quarantine')
-            late = await site.add_host(4)
-            await wait_until(late.host.is_ready)
-            await wait_until(lambda: late.host.quarantine.known.quarantined)
-            assert (await send(late, '/once/x', 'late')).status == 503
+            new_host = await site.add_host(4)
+            await wait_until(new_host.host.is_ready)
+            await wait_until(
+                lambda: new_host.host.quarantine.known.quarantined
+            )
+            assert (await send(new_host, '/once/x', 'late')).status == 503
 
     asyncio.run(main())
 
 
-def test_hosts_that_use_hubs_do_not_hear_of_crashes(monkeypatch):
+def test_crashes_are_reported_through_hubs(monkeypatch):
     async def scenario(site, hosts):
         for runner in site.runners.values():
             runner.faults.crash_on = CRASHING
-        beating = asyncio.create_task(site.keep_beating())
+        heartbeats = asyncio.create_task(site.keep_beating())
         await send_repeatedly(site, '/once/x', SENDS)
-        beating.cancel()
+        heartbeats.cancel()
         assert count_crashed(site, '/once/x') <= 4
 
     play_with_hubs(scenario, monkeypatch, list_runners(10))
--- a/tests/test_explain.py
+++ b/tests/test_explain.py
@@ -1,4 +1,4 @@
-"""A request's time line, from the logs of several hosts."""
+"""Tests of a request's time line, from the logs of several hosts."""
 
 import json
 
@@ -10,7 +10,7 @@
 
 
 def make_line(at, event, process='host-1', **fields):
-    """Return one line of a host's log."""
+    """Return a line of a host's log."""
     return json.dumps(
         {'at': at, 'event': event, 'process': process, 'zone': 'z', **fields}
     )
@@ -52,7 +52,7 @@
     return explain.explain(explain.read_lines([lines]), request_id)
 
 
-def test_time_line_holds_what_bears_on_the_request_in_order():
+def test_time_line_has_the_related_lines_in_order():
     text = explain_request('r-1')
     assert text[0] == 'request r-1 on host-1'
     events = [line.split('ms  ')[1] for line in text[1:-1]]
@@ -69,17 +69,17 @@
     )
 
 
-def test_a_refusal_names_the_limit_and_what_was_left():
+def test_cause_of_a_quota_refusal_names_the_units_requested_and_left():
     assert explain_request('r-2')[-1] == (
         'cause: anna was over its limit: 900 units asked, 10 left'
     )
 
 
-def test_an_unknown_request_is_an_error_and_other_text_is_skipped():
-    noise = ['', 'no json', '{"at": "x"}', '{}', *LINES]
-    assert explain_request('r-2', noise) == explain_request('r-2')
+def test_unknown_requests_raise_and_other_text_is_skipped():
+    mixed = ['', 'no json', '{"at": "x"}', '{}', *LINES]
+    assert explain_request('r-2', mixed) == explain_request('r-2')
     with pytest.raises(exceptions.UnknownRequestError):
-        explain_request('r-3', noise)
+        explain_request('r-3', mixed)
 
 
 def test_prefixes_of_a_log_collector_are_ignored():
@@ -87,7 +87,7 @@
     assert explain_request('r-1', prefixed) == explain_request('r-1')
 
 
-def test_command_reads_files(tmp_path, capsys):
+def test_command_reads_log_files(tmp_path, capsys):
     path = tmp_path / 'host-1.log'
     path.write_text('\n'.join(LINES))
     cli.explain_request('r-1', [str(path)])
--- a/tests/test_http1_server.py
+++ b/tests/test_http1_server.py
@@ -1,4 +1,4 @@
-"""The server side of HTTP/1.1, met with raw bytes."""
+"""Tests of the HTTP/1.1 server, with raw bytes on a socket."""
 
 import asyncio
 
@@ -17,7 +17,10 @@
 
 
 class Recorder:
-    """A handler that notes requests and echoes their bodies."""
+    """A handler that records requests and echoes their bodies.
+
+    If ``hold`` is set to an event, it waits for that before answering.
+    """
 
     def __init__(self):
         self.requests = []
@@ -36,9 +39,11 @@
 
 
 def exchange(data, recorder=None, wait_s=1.0, pieces=1):
-    """Send bytes to a server and return all it answers until it closes.
+    """Send bytes to a server and read until it closes the connection.
 
-    :param pieces: how many parts the bytes are sent in.
+    :param wait_s: longest wait for the close.
+    :param pieces: the number of parts in which the bytes are sent.
+    :returns: ``(reply, recorder)``.
     """
     recorder = recorder or Recorder()
 
@@ -65,7 +70,7 @@
 
 
 def make_request(target=b'/', body=None, headers=b''):
-    """Return the bytes of a request; a body gets a length."""
+    """Return the bytes of a request, with Content-Length if it has a body."""
     framing = b''
     if body is not None:
         framing = b'Content-Length: %d\r\n' % len(body)
@@ -95,14 +100,14 @@
 
 
 @pytest.mark.parametrize('pieces', [1, 2, 7, 40, 150])
-def test_a_request_may_arrive_in_any_pieces(pieces):
+def test_a_request_may_arrive_in_parts(pieces):
     data = make_request(b'/a', b'x' * 100, CLOSE)
     reply, recorder = exchange(data, pieces=pieces)
     assert reply.endswith(b'/a ' + b'x' * 100)
     assert len(recorder.requests) == 1
 
 
-def test_chunked_bodies_are_put_together():
+def test_chunked_bodies_are_joined():
     data = (
         b'POST /c HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n'
         b'Connection: close\r\n\r\n3\r\nabc\r\n2;ext=1\r\nde\r\n0\r\n\r\n'
@@ -136,21 +141,21 @@
         (b'POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 9\r\n\r\nab', 408),
     ],
 )
-def test_bad_requests_reach_no_handler(data, status):
+def test_invalid_requests_are_rejected_before_the_handler(data, status):
     reply, recorder = exchange(data, wait_s=3)
     assert reply.startswith(b'HTTP/1.1 %d' % status)
     assert reply.count(b'HTTP/1.1') == 1
     assert not recorder.requests
 
 
-def test_idle_connections_are_closed_in_silence():
+def test_idle_connections_are_closed_without_a_response():
     reply, _ = exchange(b'')
     assert reply == b''
     reply, _ = exchange(make_request())
     assert reply.startswith(b'HTTP/1.1 200')
 
 
-def test_the_handler_ends_when_its_caller_leaves():
+def test_the_handler_is_cancelled_when_the_caller_disconnects():
     async def main():
         recorder = Recorder()
         recorder.hold = asyncio.Event()
@@ -171,7 +176,7 @@
     asyncio.run(main())
 
 
-def test_expect_continue_is_answered_before_the_body():
+def test_100_continue_is_sent_before_the_body_is_read():
     async def main():
         recorder = Recorder()
         server = Server(recorder.handle, lambda: LIMITS)
--- a/tests/test_losses.py
+++ b/tests/test_losses.py
@@ -1,19 +1,19 @@
-"""Tables of lost calls, from logs."""
+"""Tests of the report on lost calls."""
 
 from pearrun import cli
 from pearrun import explain
 from pearrun import losses
-from pearrun.losses import Fate
+from pearrun.losses import CallResult
 from tests.test_explain import make_line
 
 
 def make_call(at, ending='answered', route='draft', **fields):
-    """Return the line of a call that ended at a time."""
-    usual = {'target_ms': 800, 'first_ms': 70, 'status': 200}
-    usual['reason'] = ''
-    usual['total_ms'] = 500
+    """Return the log line of a call that ended at a time."""
+    defaults = {'target_ms': 800, 'first_ms': 70, 'status': 200}
+    defaults['reason'] = ''
+    defaults['total_ms'] = 500
     return make_line(
-        at, 'call', ending=ending, route=route, **{**usual, **fields}
+        at, 'call', ending=ending, route=route, **{**defaults, **fields}
     )
 
 
@@ -32,26 +32,26 @@
 LINES = explain.read_lines([TEXT])
 
 
-def test_each_call_is_counted_once_under_what_became_of_it():
+def test_each_call_is_counted_once_by_its_result():
     rows = losses.count_by_span(LINES, 2)
     assert list(rows) == [0, 2]
-    assert rows[0].counts == {Fate.IN_TIME: 1, Fate.LATE: 1}
+    assert rows[0].counts == {CallResult.IN_TIME: 1, CallResult.LATE: 1}
     assert rows[2].counts == {
-        Fate.OVER_QUOTA: 1,
-        Fate.OVERLOAD: 1,
-        Fate.REFUSED: 1,
-        Fate.BROKEN_OFF: 1,
-        Fate.FAILED: 1,
+        CallResult.OVER_QUOTA: 1,
+        CallResult.OVERLOAD: 1,
+        CallResult.REFUSED: 1,
+        CallResult.BROKEN_OFF: 1,
+        CallResult.FAILED: 1,
     }
 
 
-def test_a_call_belongs_to_the_span_in_which_it_came():
+def test_calls_are_counted_in_the_span_of_their_arrival():
     text = [make_call(100.5), make_call(109.0, total_ms=8500)]
     lines = explain.read_lines([text])
     assert list(losses.count_by_span(lines, 4)) == [0]
 
 
-def test_routes_are_told_apart_and_empty_columns_left_out():
+def test_calls_are_counted_by_route_and_empty_columns_omitted():
     rows = losses.count_by_route(LINES)
     assert sum(rows['tag'].counts.values()) == 1
     text = losses.render('route', rows)
@@ -64,7 +64,7 @@
     assert losses.render_losses([], 2)[0].startswith('from s')
 
 
-def test_the_command_reads_files(tmp_path, capsys):
+def test_command_reads_log_files(tmp_path, capsys):
     path = tmp_path / 'host.log'
     path.write_text('\n'.join(TEXT))
     cli.FLAGS(['pearrun'])
--- a/tests/test_pool.py
+++ b/tests/test_pool.py
@@ -1,4 +1,4 @@
-"""Idle connections to one address, some of which have gone silent."""
+"""Tests of pooled connections whose peer has stopped responding."""
 
 import asyncio
 
@@ -14,60 +14,63 @@
 ANSWER = b'HTTP/1.1 200 OK\r\nContent-Length: 16\r\n\r\n' + EMPTY_LOG
 
 
-class SilencedServer:
-    """Answers each request, but on connections that went silent.
+class UnresponsiveServer:
+    """A server that can stop responding on its open connections.
 
-    :param answer_ms: how long an answer takes, so that calls made together
-        need a connection each.
+    ``answer_ms`` is the delay of each response; with it, concurrent calls
+    need a connection each.
     """
 
     def __init__(self):
         self.answer_ms = 50
-        self.open = set()
-        self.silent = set()
+        self.open_writers = set()
+        self.silent_writers = set()
 
-    def silence(self):
-        """Make all connections that are open now go silent."""
-        self.silent |= self.open
+    def stop_responding(self):
+        """Stop responding on all connections that are open now."""
+        self.silent_writers |= self.open_writers
 
     async def serve(self, reader, writer):
         """Serve one connection."""
-        self.open.add(writer)
+        self.open_writers.add(writer)
         try:
             while await reader.readuntil(b'\r\n\r\n'):
                 await asyncio.sleep(to_seconds(self.answer_ms))
-                if writer not in self.silent:
+                if writer not in self.silent_writers:
                     writer.write(ANSWER)
         except (asyncio.IncompleteReadError, ConnectionError):
             writer.close()
 
 
 def play(scenario):
-    """Run a scenario, called with a server and its address."""
+    """Run a scenario with a server and its address."""
 
     async def main():
-        silenced = SilencedServer()
+        unresponsive = UnresponsiveServer()
         port = free_port()
-        server = await asyncio.start_server(silenced.serve, '127.0.0.1', port)
+        server = await asyncio.start_server(
+            unresponsive.serve, '127.0.0.1', port
+        )
         try:
-            await scenario(silenced, f'127.0.0.1:{port}')
+            await scenario(unresponsive, f'127.0.0.1:{port}')
         finally:
             server.close()
 
     asyncio.run(main())
 
 
-def test_one_silent_connection_to_the_store_costs_one_call():
-    """Three connections go silent at once; a read hangs on the first.
+def test_silent_connections_to_the_store_cost_only_one_call():
+    """After a read has timed out, the other idle connections are closed.
 
-    The reads after it took the other two, one after the other, 1 s each,
-    and a drain that came meanwhile was known 3 s late.
+    When three connections stopped responding at once, the next two reads
+    used to reuse the other two and timed out as well, after 1 s each; a
+    drain was noticed 3 s late.
     """
 
     async def scenario(server, address):
         store = StoreClient(StoreSettings(address))
         await asyncio.gather(*(store.read('t', 0) for _ in range(3)))
-        server.silence()
+        server.stop_responding()
         with pytest.raises(exceptions.StoreUnavailableError):
             await store.read('t', 0)
         assert (await store.read('t', 0)).records == []
