--- a/pearrun/platform/store.py
+++ b/pearrun/platform/store.py
@@ -214,7 +214,7 @@
                 MAX_TIMEOUT_DOUBLINGS, self._consecutive_failures + 1
             )
             self.failing = True
-            if exceptions.is_silence(exc):
+            if exceptions.is_peer_silent(exc):
                 # The idle connections may be dead for the same reason, and
                 # each would make another call time out.
                 self.pool.close()
@@ -231,7 +231,7 @@
         if not self.failing:
             return
         self.failing = False
-        for connection in list(self.pool.fetching):
+        for connection in list(self.pool.in_flight):
             connection.abort()
 
 
--- a/pearrun/shared/prompts.py
+++ b/pearrun/shared/prompts.py
@@ -3,14 +3,14 @@
 import dataclasses
 
 from pearrun.ids import EndpointId
-from pearrun.ids import PartId
+from pearrun.ids import PromptPartId
 
 
 @dataclasses.dataclass(frozen=True)
 class PromptPart:
     """A part of a prompt; parts with equal ids have the same tokens."""
 
-    id: PartId
+    id: PromptPartId
     tokens: int
 
 
@@ -36,4 +36,4 @@
     """A prompt that was sent to an endpoint, which now caches its parts."""
 
     endpoint_id: EndpointId
-    part_ids: tuple[PartId, ...]
+    part_ids: tuple[PromptPartId, ...]
--- a/tests/test_platform_path.py
+++ b/tests/test_platform_path.py
@@ -360,7 +360,7 @@
 class SilentPool:
     """Pool of an unreachable endpoint: no connection is ever opened."""
 
-    async def take(self):
+    async def acquire(self):
         await asyncio.Event().wait()
 
 
@@ -589,7 +589,7 @@
         assert head.status == 200
         assert head.get(b'connection') == 'close'
         await leaving
-        await wait_until(lambda: idle.ended)
+        await wait_until(lambda: idle.closed)
 
     run_scenario(scenario, runners=PLAIN)
 
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -23,7 +23,7 @@
 from tests.crashes import count_crashed
 from tests.crashes import run_crashing_site
 from tests.crashes import send
-from tests.crashes import send_often
+from tests.crashes import send_repeatedly
 
 NOW_MS = 10_000_000
 SECONDS = 60
@@ -322,7 +322,7 @@
 def test_other_requests_of_the_same_customer_are_not_refused():
     async def main():
         async with run_crashing_site() as site:
-            await send_often(site, '/once/x', 4)
+            await send_repeatedly(site, '/once/x', 4)
             crashed = count_crashed(site, '/once/x')
             host = site.hosts['host-1']
             for number in range(5):
