--- a/benchmarks/bystanders.py
+++ b/benchmarks/bystanders.py
@@ -19,7 +19,7 @@
 from absl import flags
 
 from pearrun.decisions.evidence import Crash
-from pearrun.decisions.evidence import runs_well
+from pearrun.decisions.evidence import is_call_stable
 from pearrun.decisions.quarantine import Suspects
 
 FLAGS = flags.FLAGS
@@ -209,7 +209,9 @@
         broken = self.running.pop(name).values()
         for run in broken:
             ran_ms = self.now - run.begun_ms
-            crash = Crash(name, self.now, ran_ms, runs_well(ran_ms, ran_ms))
+            crash = Crash(
+                name, self.now, ran_ms, is_call_stable(ran_ms, ran_ms)
+            )
             self.suspects.note_crash(run.fingerprint, crash)
             answered_ms = self.answered_ms.get(run.fingerprint)
             if answered_ms is not None:
--- a/benchmarks/placement.py
+++ b/benchmarks/placement.py
@@ -24,7 +24,7 @@
 from pearrun.decisions.demand import Demand
 from pearrun.decisions.enginemodel import EngineModel
 from pearrun.decisions.prefixes import PrefixIndex
-from pearrun.decisions.topology import MESH_HOSTS
+from pearrun.decisions.topology import MAX_MESH_HOSTS
 from pearrun.shared.prompts import PromptPart
 from pearrun.shared.selection import HUB_REPORT_AGE_MS
 from pearrun.shared.selection import LARGE_TOKENS
@@ -212,7 +212,7 @@
         self.hosts = hosts
         self.zones = zones
         self.endpoints = endpoints
-        self.mesh = hosts <= MESH_HOSTS
+        self.mesh = hosts <= MAX_MESH_HOSTS
         self.own = [self._empty() for _ in range(hosts)]
         self.told = [self._empty() for _ in range(hosts)]
         self.sums = [self._empty() for _ in range(zones)]
@@ -360,9 +360,9 @@
         self.at(self.now + 2.0, self._arrive, call, number)
 
     def _unseen(self):
-        """Return the :class:`Unseen` work of the other hosts."""
+        """Return the :class:`UnreportedLoad` work of the other hosts."""
         if not self.spread or self.reports.mesh:
-            return placement.NOTHING_UNSEEN
+            return placement.NO_UNREPORTED_LOAD
         kinds = self.load.kinds
         share = self.fill * (1 - 1 / self.hosts)
         tokens = sum(
@@ -372,12 +372,12 @@
             busy=share * sum(kind.per_s for kind in kinds) * ANSWER_MS / 1000,
             tokens_per_s=share * tokens,
         )
-        return placement.expect_unseen(
+        return placement.estimate_unreported_load(
             others, HUB_REPORT_AGE_MS, ANSWER_MS, self.model, self.settings
         )
 
     def _describe(self, call):
-        return placement.Demand(
+        return placement.CallDemand(
             call.tokens, call.part.id, call.part.tokens, ANSWER_MS
         )
 
--- a/pearrun/api/crashes.py
+++ b/pearrun/api/crashes.py
@@ -13,8 +13,8 @@
 from pearrun.clock import Clock
 from pearrun.clock import to_seconds
 from pearrun.decisions.evidence import Crash
-from pearrun.decisions.evidence import runs_well
-from pearrun.decisions.evidence import select_worst
+from pearrun.decisions.evidence import is_call_stable
+from pearrun.decisions.evidence import select_most_suspect
 from pearrun.shared import suspects
 from pearrun.shared.crashcheck import is_down
 from pearrun.shared.quarantine import Quarantine
@@ -93,7 +93,7 @@
         if not await is_down(f'{url.hostname}:{url.port or HTTP_PORT}'):
             return
         now = self.clock.now()
-        ran_well = runs_well(ran_ms, ran_ms if progressed else 0)
+        ran_well = is_call_stable(ran_ms, ran_ms if progressed else 0)
         crash_id = self._name_crash(endpoint.id, now)
         crash = Crash(crash_id, now, ran_ms, ran_well)
         self.quarantine.take_crashes([(job.fingerprint, crash)])
@@ -105,7 +105,7 @@
         known = self.quarantine.known.suspects.values()
         return [
             suspects.to_fields(item.to_clock(now, wall))
-            for item in select_worst(known, MAX_TOLD)
+            for item in select_most_suspect(known, MAX_TOLD)
         ]
 
     def receive(self, told):
--- a/pearrun/decisions/__init__.py
+++ b/pearrun/decisions/__init__.py
@@ -1,5 +1,5 @@
-"""Pure decisions: no input or output, no clock reads.
+"""Pure decision logic without I/O or clock access.
 
-Each module names the load pattern it answers and the reason for its
-limits; callers pass times and counts in.
+Callers pass in all times and counters. Each module docstring describes the
+load pattern that the module handles and the reasons for its limits.
 """
--- a/pearrun/decisions/admission.py
+++ b/pearrun/decisions/admission.py
@@ -1,13 +1,14 @@
-"""Which calls are refused at once, and when their callers may return.
+"""Admission control: which calls to reject, and their Retry-After time.
 
-Load pattern: more calls than the endpoints can serve, for seconds (a
-burst) or for longer (too few endpoints to be had).  A call that would wait
-for most of its latency target before its own prompt is read, or whose first
-token is not expected inside the time its caller has left, is refused at
-once: its prompt would delay the calls behind it past their targets too,
-until none is served in time, and waiting would cost its caller the time to
-come back.  The time that its own prompt takes does not count against the
-target, so that the largest calls are refused no more than others.
+Load pattern: the endpoints receive more calls than they can serve, either
+briefly (a burst) or for longer (no further endpoints are available). A call is
+rejected immediately if it would queue for most of its latency target before
+its own prompt is processed, or if its first token is not expected within the
+time that the caller has left. Admitting it would delay the calls queued behind
+it beyond their targets as well, until no call is served in time, and its
+caller would lose the time for a retry. The processing time of the call's own
+prompt does not count against the target, so large calls are not rejected more
+often than others.
 """
 
 import dataclasses
@@ -16,59 +17,62 @@
 
 @dataclasses.dataclass(frozen=True)
 class AdmissionSettings:
-    """Limits of admission.
+    """Admission limits.
 
-    :param share: part of the time left in which a first token must be
-        expected; the rest is for the answer itself and for errors of
-        the estimate.
-    :param target_share: part of its latency target that a call may wait for
-        others; its own prompt takes the rest.
-    :param least_return_ms: shortest time after which to come back.
-    :param longest_return_ms: longest one; callers honour a third of
-        the time they have left.
-    :param least_away: with ``most_away`` the range of the longest time to
-        stay away, as parts of the latency target; the rest is for the
-        answer.
+    :param deadline_share: fraction of the remaining time within which the
+        first token must be expected; the rest is for generating the answer and
+        for errors of the estimate.
+    :param target_share: fraction of its latency target that a call may queue
+        behind others; the rest is for its own prompt.
+    :param min_retry_after_ms: lower bound of the Retry-After time.
+    :param max_retry_after_ms: upper bound of the Retry-After time; callers
+        wait for at most a third of their remaining time.
+    :param min_retry_share: with ``max_retry_share``, the range from which a
+        further upper bound is drawn, as fractions of the latency target; the
+        rest of the target is for the answer.
     """
 
-    share: float = 0.6
+    deadline_share: float = 0.6
     target_share: float = 0.7
-    least_return_ms: int = 150
-    longest_return_ms: int = 2000
-    least_away: float = 0.2
-    most_away: float = 0.5
+    min_retry_after_ms: int = 150
+    max_retry_after_ms: int = 2000
+    min_retry_share: float = 0.2
+    max_retry_share: float = 0.5
 
 
-def admits(expected_ms, queued_ms, left_ms, target_ms, settings):
-    """Say whether a call can be served in its time.
+def should_admit(expected_ms, queued_ms, remaining_ms, target_ms, settings):
+    """Say whether a call can be served in time.
 
     :param expected_ms: expected time to its first token.
-    :param queued_ms: it without the time in which its own prompt is read.
-    :param left_ms: time until its answer is due.
+    :param queued_ms: the same without the processing time of its own prompt.
+    :param remaining_ms: time until its deadline.
     :param target_ms: its latency target; 0 for none.
     """
-    if expected_ms > left_ms * settings.share:
+    if expected_ms > remaining_ms * settings.deadline_share:
         return False
     if not target_ms:
         return True
     return queued_ms <= target_ms * settings.target_share
 
 
-def return_after_ms(expected_ms, left_ms, target_ms, settings):
-    """Return when a refused caller had best come back.
+def compute_retry_after_ms(expected_ms, remaining_ms, target_ms, settings):
+    """Return the time after which a rejected caller should retry.
 
-    The time is drawn from a range around half of the expected wait, so
-    that callers refused together do not return together.  It ends while
-    the target may still be met: a caller who is away for longer is late
-    whatever becomes of the load.
+    The time is random, around half of the expected wait, so that callers
+    rejected together do not retry together. It is bounded by a fraction of the
+    latency target, because a caller that stays away for longer misses its
+    target even if the load drops.
 
-    :param expected_ms: time until a call may pass.
-    :param left_ms: time until its answer is due.
-    :param target_ms: its latency target, from its first try; 0 for none.
+    :param expected_ms: expected time until a call can be admitted.
+    :param remaining_ms: time until the call's deadline.
+    :param target_ms: its latency target, counted from its first attempt; 0 for
+        none.
     """
     wanted = random.uniform(0.3, 0.8) * expected_ms
-    longest = min(settings.longest_return_ms, left_ms / 3)
+    longest = min(settings.max_retry_after_ms, remaining_ms / 3)
     if target_ms:
-        share = random.uniform(settings.least_away, settings.most_away)
+        share = random.uniform(
+            settings.min_retry_share, settings.max_retry_share
+        )
         longest = min(longest, share * target_ms)
-    return int(max(settings.least_return_ms, min(wanted, longest)))
+    return int(max(settings.min_retry_after_ms, min(wanted, longest)))
--- a/pearrun/decisions/avoidance.py
+++ b/pearrun/decisions/avoidance.py
@@ -1,42 +1,43 @@
-"""When an endpoint that fails calls is left alone, and for how long.
+"""Circuit breaking: when to stop sending to a failing endpoint or zone.
 
-Load pattern: endpoints that crash, go silent or fail part of their
-calls while their heartbeats look good, and zones cut off as a whole.
-What callers see decides.  Each failure in a row doubles the pause; one
-success ends it.  When a pause is over, one call tries; others wait for
-how it ends.
+Load pattern: endpoints crash, stop responding or fail some of their calls
+while their heartbeats look healthy, and whole zones become unreachable. The
+decision depends on the results of calls. Each consecutive failure doubles the
+pause, and one success ends it. When a pause expires, a single call probes the
+endpoint; other calls wait for its result.
 """
 
 import dataclasses
 
-# First pause after a failed connection: about the time in which the
-# platform's list can show that the endpoint is gone, divided by ten.
-FIRST_PAUSE_MS = 300
-LONGEST_PAUSE_MS = 4000
-# Failed calls in a row, on standing connections, that begin a pause; a
-# plain service fails 14 calls in 100 in ordinary use.
-FAILURES_IN_A_ROW = 4
+# Pause after the first connection failure: a tenth of the time in which the
+# endpoint list of the platform can show that the endpoint is gone.
+INITIAL_PAUSE_MS = 300
+MAX_PAUSE_MS = 4000
+# Consecutive failed calls on established connections that start a pause. A
+# plain service fails 14 of 100 calls in normal operation.
+FAILURE_THRESHOLD = 4
 
-# Endpoints of one zone that fall silent, with no success between, until
-# the whole zone is taken to be cut off.  One may be dark by itself.
-SILENT_ENDPOINTS = 2
-# Time that the one call which tries again has before another may.
-PROBE_MS = 600
+# Number of unresponsive endpoints in a zone, without a response from the zone
+# in between, after which the whole zone is treated as unreachable. A single
+# endpoint may be down by itself.
+SILENT_ENDPOINT_THRESHOLD = 2
+# Time for which a probe holds back other calls.
+PROBE_TIMEOUT_MS = 600
 
 
 @dataclasses.dataclass
 class Pause:
-    """How long an endpoint or a zone is left alone.
+    """The period during which an endpoint or a zone gets no calls.
 
-    :param length_ms: the present pause; 0 for none.
+    :param length_ms: length of the current pause; 0 for none.
     """
 
     until_ms: int = 0
     length_ms: int = 0
 
     def begin(self, now_ms):
-        """Begin a pause, or a longer one after another failure."""
-        self.length_ms = next_pause_ms(self.length_ms)
+        """Start a pause, twice as long as the last one after a failure."""
+        self.length_ms = compute_pause_ms(self.length_ms)
         self.until_ms = now_ms + self.length_ms
 
     def clear(self):
@@ -45,63 +46,63 @@
         self.length_ms = 0
 
     def holds(self, now_ms):
-        """Say whether the pause is on."""
+        """Say whether the pause is in effect."""
         return now_ms < self.until_ms
 
-    def note_try(self, now_ms):
-        """Keep others away while one call tries after the pause."""
+    def start_probe(self, now_ms):
+        """Hold back other calls while one call probes after the pause."""
         if self.length_ms:
-            self.until_ms = max(self.until_ms, now_ms + PROBE_MS)
+            self.until_ms = max(self.until_ms, now_ms + PROBE_TIMEOUT_MS)
 
 
 @dataclasses.dataclass
 class ZoneHealth:
-    """What calls to one zone's endpoints showed.
+    """Health of a zone as seen by calls to its endpoints.
 
-    :param silent: ids of endpoints that fell silent since the last
-        success in the zone.
+    :param silent: ids of endpoints that did not respond since the last
+        response from the zone.
     """
 
     pause: Pause = dataclasses.field(default_factory=Pause)
     silent: set = dataclasses.field(default_factory=set)
 
     def note_silence(self, endpoint_id, now_ms):
-        """Note that an endpoint did not answer at all."""
+        """Record that an endpoint did not respond at all."""
         self.silent.add(endpoint_id)
-        if len(self.silent) >= SILENT_ENDPOINTS and (
+        if len(self.silent) >= SILENT_ENDPOINT_THRESHOLD and (
             not self.pause.holds(now_ms)
         ):
             self.pause.begin(now_ms)
 
     def note_answer(self):
-        """Note that an endpoint of the zone answered."""
+        """Record that an endpoint of the zone responded."""
         self.silent.clear()
         self.pause.clear()
 
 
-def next_pause_ms(previous_ms):
-    """Return the pause after another failure.
+def compute_pause_ms(previous_ms):
+    """Return the length of the pause after another failure.
 
-    :param previous_ms: the pause before; 0 for none.
+    :param previous_ms: length of the previous pause; 0 for none.
     """
     if previous_ms <= 0:
-        return FIRST_PAUSE_MS
-    return min(LONGEST_PAUSE_MS, previous_ms * 2)
+        return INITIAL_PAUSE_MS
+    return min(MAX_PAUSE_MS, previous_ms * 2)
 
 
-def should_avoid(failures, refused):
-    """Say whether an endpoint is to be left alone for a while.
+def should_pause(failures, refused):
+    """Say whether an endpoint should get no calls for a while.
 
-    :param failures: failed calls in a row.
-    :param refused: whether the last one got no connection at all.
+    :param failures: number of consecutive failed calls.
+    :param refused: whether the last call could not even connect.
     """
-    return refused or failures >= FAILURES_IN_A_ROW
+    return refused or failures >= FAILURE_THRESHOLD
 
 
 def filter_usable(items, is_paused):
-    """Drop what is left alone now, but never everything.
+    """Drop the paused items, unless all of them are paused.
 
-    :param is_paused: says of an item whether it is.
+    :param is_paused: predicate that says whether an item is paused.
     """
     usable = [item for item in items if not is_paused(item)]
     return usable or items
--- a/pearrun/decisions/budget.py
+++ b/pearrun/decisions/budget.py
@@ -1,21 +1,22 @@
-"""How many repeated sends a host may make.
+"""Retry budget: how many retries a host may send.
 
-Load pattern: endpoints fail or refuse many calls at once, and every
-host repeats its share of them, which would multiply the load.  The
-allowance of all hosts together is a ratio of the calls plus a fixed
-slack; a host uses its own calls' ratio and an equal part of the slack,
-so the sum holds without the hosts' talking, cut off or not.
+Load pattern: endpoints fail or reject many calls at once, and every host
+retries its share of them, which would multiply the load. All hosts together
+may retry a fixed ratio of the calls plus a fixed slack. Each host applies the
+ratio to its own calls and takes an equal part of the slack, so the total limit
+holds without communication, even in a network partition.
 """
 
 import collections
 
-# Part of the ratio and of the slack that is used: calls of one host may
-# fall into a window in which another host's calls do not count any more.
-SAFETY = 0.7
+# Fraction of the ratio and of the slack that is used. The windows of the hosts
+# are not aligned: calls of one host may fall into a window in which those of
+# another host no longer count.
+SAFETY_FACTOR = 0.7
 
 
 class RetryBudget:
-    """Repeated sends to one service within a sliding window.
+    """Retries to one service within a sliding window.
 
     :param settings: has ``ratio``, ``slack`` and ``window_ms``.
     """
@@ -26,26 +27,28 @@
         self._repeats = collections.deque()
 
     def count_call(self, now_ms):
-        """Count a call of a caller."""
+        """Count a call from a caller."""
         self._calls.append(now_ms)
         self._drop_old(now_ms)
 
     def take(self, now_ms, hosts):
-        """Ask for one repeated send.
+        """Request one retry from the budget.
 
-        :param hosts: how many hosts share the slack.
-        :returns: whether it may be made; if so it is counted.
+        :param hosts: number of hosts that share the slack.
+        :returns: whether the retry is allowed; if so, it is counted.
         """
         self._drop_old(now_ms)
         slack = self.settings.slack / max(1, hosts)
-        allowed = SAFETY * (self.settings.ratio * len(self._calls) + slack)
+        allowed = SAFETY_FACTOR * (
+            self.settings.ratio * len(self._calls) + slack
+        )
         if len(self._repeats) + 1 > allowed:
             return False
         self._repeats.append(now_ms)
         return True
 
     def _drop_old(self, now_ms):
-        oldest = now_ms - self.settings.window_ms
+        oldest_ms = now_ms - self.settings.window_ms
         for times in (self._calls, self._repeats):
-            while times and times[0] < oldest:
+            while times and times[0] < oldest_ms:
                 times.popleft()
--- a/pearrun/decisions/evidence.py
+++ b/pearrun/decisions/evidence.py
@@ -1,8 +1,8 @@
-"""Crashes as evidence against the requests that were running.
+"""Weighs endpoint crashes as evidence against requests.
 
-Load pattern: an endpoint's crash breaks all calls that it runs, and endpoints
-may crash many at once.  A call that had run well, or one that met several
-endpoints of one failure domain, is seldom what crashed them.
+Load pattern: a crash of an endpoint breaks all calls that run there, and many
+endpoints may crash at once. A call that had been running stably, or that was
+sent to several endpoints of one failure domain, rarely is the cause.
 """
 
 import collections
@@ -13,37 +13,40 @@
 from pearrun.ids import RequestId
 from pearrun.ids import ZoneName
 
-# A call that was being answered for so long, or under way for so long at all,
-# ran well: what crashes an endpoint seldom takes that time.
-ANSWERED_WELL_MS = 1000
-UNDER_WAY_WELL_MS = 5000
-# What crashes count against a call that ran well, and those within this time
-# count as one: endpoints that crash at once have another cause.
-WELL_RUN_WEIGHT = 0.5
-SAME_MOMENT_MS = 1000
-# What further crashes of one group count, and all of them at the most: a call
-# may meet several endpoints of a failure domain that is lost as a whole.
-FURTHER_WEIGHT = 0.5
-GROUP_WEIGHT = 2.0
+# A call is considered stable once its response has been streaming for
+# STABLE_ANSWER_MS, or once it has been in progress for STABLE_CALL_MS. A
+# request that crashes endpoints rarely takes that long.
+STABLE_ANSWER_MS = 1000
+STABLE_CALL_MS = 5000
+# Weight of a crash as evidence against a stable call. Crashes within
+# CLUSTER_WINDOW_MS count once, since simultaneous crashes of endpoints have
+# another cause.
+STABLE_CALL_WEIGHT = 0.5
+CLUSTER_WINDOW_MS = 1000
+# Weight of each additional crash within a group, and the maximum weight of a
+# group. A call may be sent to several endpoints of a failure domain that fails
+# as a whole.
+ADDITIONAL_WEIGHT = 0.5
+MAX_GROUP_WEIGHT = 2.0
 
 
 @dataclasses.dataclass(frozen=True)
 class Crash:
-    """An endpoint's crash while a request was running there.
+    """A crash of an endpoint while a request was running there.
 
-    :param at_ms: monotonic time.
-    :param ran_ms: milliseconds since the request was sent there.
-    :param ran_well: see :func:`runs_well`.
+    :param at_ms: monotonic time of the crash.
+    :param ran_ms: milliseconds since the request was sent to the endpoint.
+    :param call_was_stable: see :func:`is_call_stable`.
     :param call_id: the attempt that was running.
-    :param zone: the endpoint's failure domain.
-    :param proven: whether the endpoint is known to have crashed; until then
-        the path to it may be cut.
+    :param zone: the failure domain of the endpoint.
+    :param proven: whether the crash is confirmed; otherwise the endpoint may
+        just be unreachable.
     """
 
     endpoint_id: EndpointId
     at_ms: int
     ran_ms: int
-    ran_well: bool = False
+    call_was_stable: bool = False
     call_id: RequestId = ''
     zone: ZoneName = ''
     proven: bool = True
@@ -51,10 +54,10 @@
 
 @dataclasses.dataclass
 class Suspect:
-    """A request under which endpoints crashed.
+    """A request that was running when endpoints crashed.
 
     :param crashes: :class:`Crash` by endpoint id.
-    :param answered_ms: when one of its runs was answered last.
+    :param answered_ms: time of the last successful run, if any.
     """
 
     fingerprint: Fingerprint
@@ -62,36 +65,36 @@
     answered_ms: int | None = None
 
     @property
-    def last_ms(self):
-        """When an endpoint crashed under it last."""
+    def last_crash_ms(self):
+        """Time of its most recent crash."""
         return max(crash.at_ms for crash in self.crashes.values())
 
     @property
-    def touched_ms(self):
-        """When it crashed an endpoint or was answered last."""
+    def last_event_ms(self):
+        """Time of its most recent crash or successful run."""
         times = [crash.at_ms for crash in self.crashes.values()]
         if self.answered_ms is not None:
             times.append(self.answered_ms)
         return max(times)
 
     def to_ages(self, now_ms):
-        """Return it with ages, in milliseconds, in place of times.
+        """Return a copy with ages in milliseconds instead of times.
 
-        Times that lie ahead, by another clock, count as now.
+        Times in the future, caused by a different clock, get the age 0.
         """
         return self._shift(lambda at_ms: max(0, now_ms - at_ms))
 
     def to_times(self, now_ms):
-        """Return it with times in place of ages; see :meth:`to_ages`."""
+        """Return a copy with times instead of ages; see :meth:`to_ages`."""
         return self._shift(lambda age_ms: now_ms - age_ms)
 
-    def to_clock(self, now_ms, there_ms):
-        """Return it with times by another clock.
+    def to_clock(self, now_ms, target_ms):
+        """Return a copy with its times converted to another clock.
 
-        :param now_ms: the present by the clock of its times.
-        :param there_ms: the present by the other clock.
+        :param now_ms: current time of the clock of its times.
+        :param target_ms: current time of the other clock.
         """
-        return self.to_ages(now_ms).to_times(there_ms)
+        return self.to_ages(now_ms).to_times(target_ms)
 
     def _shift(self, convert):
         crashes = {
@@ -105,33 +108,34 @@
             answered_ms = convert(answered_ms)
         return Suspect(self.fingerprint, crashes, answered_ms)
 
-    def weigh(self, explained=frozenset(), with_unproven=True):
-        """Return how much its crashes count.
+    def weigh(self, explained=frozenset(), include_unproven=True):
+        """Return the total weight of its crashes.
 
-        :param explained: ids of endpoints that another request crashed.
-        :param with_unproven: whether those count that are not proven.
+        :param explained: ids of endpoints whose crash is attributed to another
+            request.
+        :param include_unproven: whether unconfirmed crashes count.
         """
-        left = [
+        remaining = [
             crash
             for endpoint_id, crash in self.crashes.items()
             if endpoint_id not in explained
         ]
-        proven = [crash for crash in left if crash.proven]
+        proven = [crash for crash in remaining if crash.proven]
         weight = weigh_proven(proven)
-        if with_unproven:
+        if include_unproven:
             known = {crash.call_id for crash in proven}
-            calls = {c.call_id for c in left if not c.proven} - known
+            calls = {c.call_id for c in remaining if not c.proven} - known
             weight += len(calls)
         return weight
 
-    def mean_run_ms(self):
-        """Return how long it had run when endpoints crashed."""
+    def compute_mean_run_ms(self):
+        """Return its mean running time at the time of the crashes."""
         total_ms = sum(crash.ran_ms for crash in self.crashes.values())
         return total_ms / max(1, len(self.crashes))
 
 
-def select_worst(suspects, count):
-    """Return the suspects that are worth most to be known.
+def select_most_suspect(suspects, count):
+    """Return the suspects with the strongest evidence.
 
     :param suspects: :class:`Suspect` objects.
     :returns: a list of at most ``count`` of them.
@@ -139,52 +143,52 @@
     suspects = list(suspects)
     if len(suspects) <= count:
         return suspects
-    suspects.sort(key=lambda item: (item.weigh(), item.touched_ms))
+    suspects.sort(key=lambda item: (item.weigh(), item.last_event_ms))
     return suspects[-count:]
 
 
 def weigh_proven(crashes):
-    """Return how much crashes count that are known to be ones."""
-    well_run = [crash for crash in crashes if crash.ran_well]
+    """Return the total weight of confirmed crashes."""
+    stable = [crash for crash in crashes if crash.call_was_stable]
     groups = collections.Counter(
         (crash.call_id, crash.zone) if crash.call_id else crash.endpoint_id
         for crash in crashes
-        if not crash.ran_well
+        if not crash.call_was_stable
     )
-    weight = WELL_RUN_WEIGHT * count_moments(well_run)
+    weight = STABLE_CALL_WEIGHT * count_clusters(stable)
     for size in groups.values():
-        weight += min(GROUP_WEIGHT, 1.0 + FURTHER_WEIGHT * (size - 1))
+        weight += min(MAX_GROUP_WEIGHT, 1.0 + ADDITIONAL_WEIGHT * (size - 1))
     return weight
 
 
-def runs_well(ran_ms, answered_ms):
-    """Say whether a call that has just broken had run well until then.
+def is_call_stable(ran_ms, answered_ms):
+    """Say whether a call had been running stably until it broke.
 
     :param ran_ms: milliseconds since it was sent.
-    :param answered_ms: milliseconds since its answer began.
+    :param answered_ms: milliseconds since its response began.
     """
-    return ran_ms >= UNDER_WAY_WELL_MS or answered_ms >= ANSWERED_WELL_MS
+    return ran_ms >= STABLE_CALL_MS or answered_ms >= STABLE_ANSWER_MS
 
 
-def count_moments(crashes):
-    """Return how many crashes there are, those close together once."""
+def count_clusters(crashes):
+    """Count crashes, with those close together counted once."""
     count = 0
-    last_ms = None
+    last_crash_ms = None
     for at_ms in sorted(crash.at_ms for crash in crashes):
-        if last_ms is None or at_ms - last_ms > SAME_MOMENT_MS:
+        if last_crash_ms is None or at_ms - last_crash_ms > CLUSTER_WINDOW_MS:
             count += 1
-            last_ms = at_ms
+            last_crash_ms = at_ms
     return count
 
 
-def rank(suspect, explained):
-    """Return the key by which crashes are held against requests.
+def make_sort_key(suspect, explained):
+    """Return the key by which crashes are attributed to requests.
 
-    Of two that were under the same crashes, the one that had just begun goes
-    first; the fingerprint makes the order the same on every host.
+    Among requests with the same crashes, the one with the shortest running
+    time comes first. The fingerprint makes the order the same on every host.
     """
     return (
         suspect.weigh(explained),
-        -suspect.mean_run_ms(),
+        -suspect.compute_mean_run_ms(),
         suspect.fingerprint,
     )
--- a/pearrun/decisions/lease.py
+++ b/pearrun/decisions/lease.py
@@ -1,31 +1,33 @@
-"""The lease of the duties, as read from its log.
-
-Load pattern: hosts are killed, frozen, cut off or lose answers of the
-store while one of them has to act alone.  The log of the lease decides:
-a record is only appended at the offset its writer has read up to, so
-two claims cannot both succeed.  A holder acts until a fixed time after
-it *sent* its last acknowledged record; another host claims only after
-the log has stood still for longer than that, by its own clock.  Clocks
-used count suspended time, so a host that was frozen knows it.
+"""The lease of the host that performs the cluster-wide duties.
+
+Load pattern: hosts are killed, frozen or partitioned, or lose responses of the
+store, while exactly one of them has to act. The lease is decided by a log: a
+record is appended only at the offset up to which its writer has read, so two
+concurrent claims cannot both succeed. A holder acts until a fixed time after
+it *sent* its last acknowledged record. Another host claims the lease only
+after the log has been unchanged for longer than that by its own clock. The
+clocks include suspended time, so a host that was frozen notices that its lease
+has expired.
 """
 
 import dataclasses
 import enum
 
-# How long a holder may act after sending an acknowledged record.
-HOLD_MS = 2500
-# How often a holder writes; two writes may fail before it has to stop.
-RENEW_MS = 900
-# How long the log must stand still before another host claims: longer
-# than the lease, so that a call sent at its end has arrived, and longer
-# than the span in which duties must not alternate between hosts.
-QUIET_MS = 3800
-# Added to that span: a call sent in the last moment of a lease arrives.
-QUIET_MARGIN_MS = 800
+# How long a holder may act after it sent a record that was acknowledged.
+LEASE_DURATION_MS = 2500
+# How often a holder renews; two renewals may fail before it has to stop.
+RENEW_INTERVAL_MS = 900
+# How long the log must be unchanged before another host claims. Longer than
+# the lease, so that a call sent at its end has arrived, and longer than the
+# period within which the duties must not alternate between hosts.
+TAKEOVER_DELAY_MS = 3800
+# Added to the configured period within which the duties must not alternate, so
+# that a call sent at the very end of a lease has arrived.
+TAKEOVER_MARGIN_MS = 800
 
 
 class RecordKind(enum.Enum):
-    """What a record of the lease's log says."""
+    """Kind of a record in the lease log."""
 
     CLAIM = 'claim'
     RENEW = 'renew'
@@ -34,11 +36,11 @@
 
 @dataclasses.dataclass(frozen=True)
 class LeaseRecord:
-    """One record of the log.
+    """A record of the lease log.
 
-    :param run: the writer's host name and start time.
-    :param window: number of a usage window: that of ``counts``, or the last
-        one that was agreed before a renewal.
+    :param run: host name and start time of the writer.
+    :param window: number of a usage window: that of ``counts``, or in a
+        renewal the last window that was agreed on before.
     """
 
     kind: RecordKind
@@ -48,32 +50,34 @@
 
 
 class LeaseView:
-    """What a host knows of the lease.
+    """The state of the lease as known to one host.
 
-    :param run: the host's own name and start time.
-    :param quiet_ms: how long the log must stand still before a claim.
+    :param run: name and start time of this host.
+    :param takeover_delay_ms: how long the log must be unchanged before a
+        claim.
 
-    Times are milliseconds of a clock that counts suspended time.
+    Times are in milliseconds of a clock that includes suspended time.
     ``agreed_until`` is the last usage window that any holder agreed on, and
-    ``lost_ms`` when this host found that the log was deleted.
+    ``history_lost_ms`` the time at which this host found that the log had been
+    deleted.
     """
 
-    def __init__(self, run, quiet_ms=QUIET_MS):
+    def __init__(self, run, takeover_delay_ms=TAKEOVER_DELAY_MS):
         self.run = run
-        self.quiet_ms = quiet_ms
+        self.takeover_delay_ms = takeover_delay_ms
         self.end = None
         self.holder = None
         self.fencing = 0
-        self.still_since_ms = None
+        self.unchanged_since_ms = None
         self.valid_until_ms = None
         self.reported = {}
-        self.told_end = None
-        self.told_ms = None
+        self.announced_end = None
+        self.announced_ms = None
         self.agreed_until = -1
-        self.lost_ms = None
+        self.history_lost_ms = None
 
     def apply(self, offset, record):
-        """Take a record read from, or appended to, the log."""
+        """Apply a record that was read from, or appended to, the log."""
         match record.kind:
             case RecordKind.CLAIM:
                 self.holder = record.run
@@ -86,59 +90,63 @@
                     self.reported[record.window] = record.counts
                     self.agreed_until = max(self.agreed_until, record.window)
         self.end = offset + 1
-        self.still_since_ms = None
+        self.unchanged_since_ms = None
 
-    def note_expired(self, first):
-        """Note that records up to an offset were deleted unread.
+    def note_expired(self, first_offset):
+        """Record that records before an offset were deleted unread.
 
-        Another host may have written them: the log has not stood still.
+        Another host may have written them, so the log does not count as
+        unchanged.
         """
-        self.end = first
-        self.still_since_ms = None
+        self.end = first_offset
+        self.unchanged_since_ms = None
 
     def note_history_lost(self, now_ms):
-        """Note that nothing is left of the log: what was agreed is unknown."""
-        self.lost_ms = now_ms
+        """Record that the whole log is gone, with the agreed windows."""
+        self.history_lost_ms = now_ms
 
     def note_end(self, end, now_ms):
-        """Note that the log ended at an offset at a time.
+        """Record where the log ended at a given time.
 
-        Without records since the last time, or since the holder told where
-        it ends, the log has stood still.
+        The log is unchanged if there were no records since the last call, or
+        since the holder announced the same end.
         """
         if self.end is None or end != self.end:
             self.end = end
-            self.still_since_ms = None
-        if self.still_since_ms is None:
-            told = end == self.told_end
-            self.still_since_ms = self.told_ms if told else now_ms
-
-    def note_told(self, end, now_ms):
-        """Note that a holder told where the log ends.
-
-        A host that hears of the log need not have read it to know for how
-        long it has stood still, so a lost holder is succeeded sooner.
+            self.unchanged_since_ms = None
+        if self.unchanged_since_ms is None:
+            was_announced = end == self.announced_end
+            self.unchanged_since_ms = (
+                self.announced_ms if was_announced else now_ms
+            )
+
+    def note_announced_end(self, end, now_ms):
+        """Record the end of the log as announced by a holder.
+
+        A host that receives announcements knows how long the log has been
+        unchanged without having read it, so a failed holder is replaced
+        sooner.
         """
-        if end != self.told_end:
-            self.told_end = end
-            self.told_ms = now_ms
+        if end != self.announced_end:
+            self.announced_end = end
+            self.announced_ms = now_ms
 
     def may_claim(self, now_ms):
         """Say whether no other host can be acting any more."""
-        if self.end is None or self.still_since_ms is None:
+        if self.end is None or self.unchanged_since_ms is None:
             return False
         if self.end == 0:
             return True
-        return now_ms - self.still_since_ms >= self.quiet_ms
+        return now_ms - self.unchanged_since_ms >= self.takeover_delay_ms
 
     def note_written(self, offset, record, sent_ms):
-        """Note that a record of ours was appended and acknowledged."""
+        """Record that a record of this host was acknowledged."""
         self.apply(offset, record)
         if self.holder == self.run:
-            self.valid_until_ms = sent_ms + HOLD_MS
+            self.valid_until_ms = sent_ms + LEASE_DURATION_MS
 
     def holds(self, now_ms):
-        """Say whether this host may act now."""
+        """Say whether this host holds the lease and may act."""
         return (
             self.holder == self.run
             and self.valid_until_ms is not None
@@ -146,7 +154,10 @@
         )
 
     def should_renew(self, now_ms):
-        """Say whether the holder should write again."""
+        """Say whether the holder should renew its lease."""
         if self.valid_until_ms is None:
             return False
-        return now_ms >= self.valid_until_ms - HOLD_MS + RENEW_MS
+        return (
+            now_ms
+            >= self.valid_until_ms - LEASE_DURATION_MS + RENEW_INTERVAL_MS
+        )
--- a/pearrun/decisions/placement.py
+++ b/pearrun/decisions/placement.py
@@ -1,17 +1,18 @@
-"""Which endpoint a call goes to.
-
-Load pattern: waves and bursts of short urgent prompts mixed with long
-ones, where prompts of one subject share a long beginning.  A prompt
-goes where the time to its first token is expected to be least: tokens
-waiting to be read there, its own tokens that are not cached there, and
-the calls running there, each turned into milliseconds.  Rendezvous
-hashing gives all hosts the same favourite for a beginning that none of
-them has placed yet, so that it is read once without their talking.
-
-In a large fleet most of what is placed is not heard of in time.  If each
-host chose the least expected time, all would choose the same endpoint until
-the next reports; so calls are spread by the room that endpoints have for
-what all hosts place meanwhile.
+"""Placement: which endpoint a call is sent to.
+
+Load pattern: waves and bursts of short urgent prompts mixed with long ones,
+where prompts on the same subject share a long prefix. A prompt is sent to the
+endpoint with the least expected time to its first token. The estimate converts
+to milliseconds the prompt tokens queued there, the tokens of the prompt itself
+that are not cached there, and the calls running there. Rendezvous hashing
+gives all hosts the same preferred endpoint for a prefix that none of them has
+placed yet, so that it is processed only once without coordination.
+
+In a large fleet most placements of other hosts are reported too late. If each
+host chose the endpoint with the least expected time, all would choose the same
+one until the next reports. Calls are therefore distributed randomly in
+proportion to the headroom that endpoints have for the expected placements of
+all hosts.
 """
 
 import dataclasses
@@ -19,46 +20,49 @@
 import hashlib
 import random
 
-# Hashes of endpoint ids and prompt parts kept, at some 150 bytes each:
-# more than the endpoints and the subjects in use at once.
-KEPT_HASHES = 8192
+# Number of cached hashes of endpoint ids and prompt parts, at about 150 bytes
+# each: more than the endpoints and subjects in use at a time.
+MAX_CACHED_HASHES = 8192
 HASH_BYTES = 8
 HASH_MASK = (1 << (8 * HASH_BYTES)) - 1
 
 
 @dataclasses.dataclass(frozen=True)
 class PlacementSettings:
-    """Weights of the choice.
-
-    :param call_ms: what one running call adds to another one's first
-        token: a step of a batch grows by about 0.1 ms a call, and a
-        first token waits for some steps.
-    :param zone_ms: what a hop to another zone costs, in time and price.
-    :param favourite_ms: head start of the hashed favourite, so that
-        hosts agree while loads are alike.
-    :param affinity_tokens: prompts with a shared beginning of so many tokens
-        stay with the endpoint that holds it while that one has room.
-    :param spread: other calls spread over endpoints with room for so many
-        times what others place unheard of; its parts are of unequal size.
+    """Weights of the placement decision.
+
+    :param per_call_ms: how much a running call delays the first token of
+        another. A batch step takes about 0.1 ms longer for each call, and a
+        first token waits for several steps.
+    :param cross_zone_ms: penalty for sending to another zone, for latency and
+        price.
+    :param preferred_bonus_ms: bonus of the endpoint preferred by rendezvous
+        hashing, so that hosts agree while loads are similar.
+    :param affinity_tokens: prompts with a shared prefix of at least this many
+        tokens stay with the endpoint that has it cached while that endpoint
+        has headroom.
+    :param spread_factor: other calls are distributed over endpoints with
+        headroom for this many times the unreported placements of other hosts,
+        since these are uneven in size.
     """
 
-    call_ms: float = 1.0
-    zone_ms: float = 2.0
-    favourite_ms: float = 4.0
+    per_call_ms: float = 1.0
+    cross_zone_ms: float = 2.0
+    preferred_bonus_ms: float = 4.0
     affinity_tokens: int = 1000
-    spread: float = 2.0
+    spread_factor: float = 2.0
 
 
 @dataclasses.dataclass(slots=True)
 class Candidate:
-    """An endpoint a call could go to.
+    """An endpoint that a call could be sent to.
 
-    Not frozen: one is made for each endpoint and call, and a frozen
-    class takes three times as long to make.
+    Not frozen, because one is created for each endpoint and call, and creating
+    an instance of a frozen class takes three times as long.
 
-    :param calls: calls of all hosts running or waiting there.
-    :param reading_tokens: prompt tokens of all hosts not read yet.
-    :param cached_tokens: the call's own tokens that are cached there.
+    :param calls: calls of all hosts that run or wait there.
+    :param reading_tokens: prompt tokens of all hosts still to be processed.
+    :param cached_tokens: prompt tokens of the call that are cached there.
     """
 
     id: str
@@ -70,15 +74,15 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Demand:
-    """What a call asks of an endpoint.
-
-    :param tokens: its prompt's tokens; 0 for plain services.
-    :param affinity: the prompt part that should draw alike calls to
-        one endpoint; ``None`` where nothing is shared.
-    :param shared_tokens: tokens that it shares with other calls.
-    :param answer_ms: how long calls to the service take; a slot is free
-        again after as long.
+class CallDemand:
+    """What a call requires of an endpoint.
+
+    :param tokens: its prompt tokens; 0 for plain services.
+    :param affinity: id of the shared prompt prefix, by which similar calls
+        prefer the same endpoint; ``None`` if nothing is shared.
+    :param shared_tokens: prompt tokens that it shares with other calls.
+    :param answer_ms: typical duration of calls to the service, after which an
+        occupied slot is expected to be free.
     """
 
     tokens: int = 0
@@ -89,10 +93,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Cost:
-    """What an endpoint costs a call.
+    """The cost of sending a call to an endpoint.
 
-    :param cost_ms: what it is compared by.
-    :param wait_ms: the expected time to the first token.
+    :param cost_ms: value by which endpoints are compared.
+    :param wait_ms: expected time to the first token.
     """
 
     candidate: Candidate
@@ -101,129 +105,138 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Unseen:
-    """What other hosts have placed since they reported, as expected.
+class UnreportedLoad:
+    """Expected placements of other hosts since their last reports.
 
-    :param calls: calls, at all endpoints of the service together.
-    :param work_ms: what they add to the time to a first token, summed up.
+    :param calls: calls at all endpoints of the service together.
+    :param work_ms: total time that they add to the time to a first token.
     """
 
     calls: float = 0.0
     work_ms: float = 0.0
 
 
-NOTHING_UNSEEN = Unseen()
+NO_UNREPORTED_LOAD = UnreportedLoad()
 
 
-def expect_unseen(others, age_ms, answer_ms, model, settings):
-    """Estimate what others have placed since they reported.
+def estimate_unreported_load(others, age_ms, answer_ms, model, settings):
+    """Estimate what other hosts have placed since their last reports.
 
     :param others: their :class:`pearrun.decisions.demand.Demand`.
-    :param age_ms: how old their reports are as they are used.
-    :param answer_ms: how long a call takes.
+    :param age_ms: age of their reports at the time of use.
+    :param answer_ms: typical duration of a call.
     :param model: the :class:`EngineModel` of the service.
-    :returns: :class:`Unseen`.
+    :returns: :class:`UnreportedLoad`.
     """
-    # Calls that are answered sooner than they are heard of are gone again.
+    # Calls that complete before they are reported add no load.
     calls = others.busy / answer_ms * min(age_ms, answer_ms)
     tokens = others.tokens_per_s * age_ms / 1000.0
-    work_ms = tokens / model.tokens_per_ms + calls * settings.call_ms
-    return Unseen(calls, work_ms)
+    work_ms = tokens / model.tokens_per_ms + calls * settings.per_call_ms
+    return UnreportedLoad(calls, work_ms)
 
 
-def estimate_ms(candidate, demand, model, settings, unseen_calls=0.0):
-    """Estimate the time to a call's first token at an endpoint.
+def estimate_first_token_ms(
+    candidate, demand, model, settings, unreported_calls=0.0
+):
+    """Estimate the time to the first token of a call at an endpoint.
 
     :param model: the :class:`EngineModel` of its service.
-    :param unseen_calls: calls that it may have got unheard of.
+    :param unreported_calls: expected calls there that are not reported yet.
     :returns: milliseconds.
     """
-    fresh = max(0, demand.tokens - candidate.cached_tokens)
-    calls = candidate.calls + unseen_calls
-    waiting = max(0, calls + 1 - candidate.slots)
+    uncached = max(0, demand.tokens - candidate.cached_tokens)
+    calls = candidate.calls + unreported_calls
+    queued = max(0, calls + 1 - candidate.slots)
     return (
-        model.expect_ms(candidate.reading_tokens + fresh)
-        + candidate.calls * settings.call_ms
-        + waiting * demand.answer_ms / candidate.slots
+        model.predict_ms(candidate.reading_tokens + uncached)
+        + candidate.calls * settings.per_call_ms
+        + queued * demand.answer_ms / candidate.slots
     )
 
 
-def choose(candidates, demand, model, settings, unseen=NOTHING_UNSEEN):
+def choose(candidates, demand, model, settings, unreported=NO_UNREPORTED_LOAD):
     """Choose an endpoint by the expected time to the first token.
 
-    The least one is right only while nobody else chooses it too.  Where
-    others place much that is not heard of yet, each endpoint is drawn with
-    the part that it would get if all of that were placed so that it evens
-    out the expected times.
+    The endpoint with the least time is the best choice only if no other host
+    chooses it at the same time. With unreported load, the endpoint is drawn at
+    random instead. The probability of each is the share of that load which it
+    would get if all of it were placed so as to even out the expected times.
 
     :param candidates: a list of :class:`Candidate`.
     :param model: the :class:`EngineModel` of their service.
-    :param unseen: the :class:`Unseen` work of other hosts.
-    :returns: ``(candidate, milliseconds)``; ``(None, 0)`` without any.
+    :param unreported: the :class:`UnreportedLoad` of other hosts.
+    :returns: ``(candidate, milliseconds)``; ``(None, 0)`` without candidates.
     """
     if not candidates:
         return None, 0.0
-    favourite = find_favourite(candidates, demand.affinity)
-    each = unseen.calls / len(candidates)
+    preferred = find_preferred(candidates, demand.affinity)
+    per_endpoint = unreported.calls / len(candidates)
     costs = []
     for candidate in candidates:
-        wait_ms = estimate_ms(candidate, demand, model, settings, each)
+        wait_ms = estimate_first_token_ms(
+            candidate, demand, model, settings, per_endpoint
+        )
         cost_ms = wait_ms
         if not candidate.same_zone:
-            cost_ms += settings.zone_ms
-        if candidate.id == favourite:
-            cost_ms -= settings.favourite_ms
+            cost_ms += settings.cross_zone_ms
+        if candidate.id == preferred:
+            cost_ms -= settings.preferred_bonus_ms
         costs.append(Cost(candidate, cost_ms, wait_ms))
     costs.sort(key=lambda cost: cost.cost_ms)
     chosen = costs[0]
-    if unseen.work_ms:
-        chosen = choose_by_room(costs, demand, favourite, unseen, settings)
+    if unreported.work_ms:
+        chosen = choose_by_headroom(
+            costs, demand, preferred, unreported, settings
+        )
     return chosen.candidate, chosen.wait_ms
 
 
-def choose_by_room(costs, demand, favourite, unseen, settings):
-    """Choose an endpoint where others choose at the same time.
+def choose_by_headroom(costs, demand, preferred, unreported, settings):
+    """Choose an endpoint while other hosts place calls concurrently.
 
-    A long shared beginning goes to an endpoint that holds it while that one
-    has room, and else to its favourite: beginnings are many, and spread by
-    themselves.
+    A call with a long shared prefix is sent to an endpoint that has the prefix
+    cached and has headroom, otherwise to its preferred endpoint if that has
+    headroom. There are so many prefixes that these calls are distributed
+    anyway.
 
     :param costs: a list of :class:`Cost`, the least first.
-    :param favourite: id of the endpoint that all hosts prefer.
+    :param preferred: id of the endpoint that all hosts prefer.
     :returns: one of ``costs``.
     """
     if demand.shared_tokens >= settings.affinity_tokens:
-        level = find_level(costs, unseen.work_ms)
-        fit = [cost for cost in costs if cost.cost_ms < level]
-        kept = find_kept(fit, demand, favourite)
-        if kept is not None:
-            return kept
-    level = find_level(costs, unseen.work_ms * settings.spread)
-    rooms = [max(0.0, level - cost.cost_ms) for cost in costs]
-    return random.choices(costs, rooms)[0]
+        level = find_fill_level(costs, unreported.work_ms)
+        with_headroom = [cost for cost in costs if cost.cost_ms < level]
+        affine = find_affine(with_headroom, demand, preferred)
+        if affine is not None:
+            return affine
+    level = find_fill_level(costs, unreported.work_ms * settings.spread_factor)
+    headrooms = [max(0.0, level - cost.cost_ms) for cost in costs]
+    return random.choices(costs, headrooms)[0]
 
 
-def find_kept(costs, demand, favourite):
-    """Find the endpoint at which a shared beginning stays.
+def find_affine(costs, demand, preferred):
+    """Find the endpoint with affinity to a shared prefix.
 
-    :returns: a :class:`Cost`; ``None`` where none is to be preferred.
+    :returns: a :class:`Cost`; ``None`` if there is no such endpoint.
     """
     holders = [
         cost
         for cost in costs
         if cost.candidate.cached_tokens * 2 >= demand.shared_tokens
     ]
-    first = [cost for cost in costs if cost.candidate.id == favourite]
-    both = [cost for cost in first if cost in holders]
-    return next(iter([*both, *holders, *first]), None)
+    preferred_costs = [
+        cost for cost in costs if cost.candidate.id == preferred
+    ]
+    preferred_holders = [cost for cost in preferred_costs if cost in holders]
+    return next(iter([*preferred_holders, *holders, *preferred_costs]), None)
 
 
-def find_level(costs, work_ms):
-    """Find the cost that all get to that have room for some work.
+def find_fill_level(costs, work_ms):
+    """Find the common cost after distributing work (water-filling).
 
     :param costs: a list of :class:`Cost`, the least first.
-    :param work_ms: milliseconds to spread over them so that the least
-        loaded ones are evened out.
+    :param work_ms: work to distribute so that the costs of the least loaded
+        endpoints are evened out.
     """
     total = 0.0
     for count, cost in enumerate(costs):
@@ -233,26 +246,26 @@
     return (work_ms + total) / len(costs)
 
 
-def find_favourite(candidates, affinity):
+def find_preferred(candidates, affinity):
     """Return the id of the endpoint that all hosts prefer for a key."""
     if affinity is None or not candidates:
         return None
     key = hash_name(affinity)
-    favourite = None
+    preferred = None
     highest = -1
     for candidate in candidates:
         weight = (key * hash_name(candidate.id)) & HASH_MASK
         if weight > highest:
-            favourite, highest = candidate.id, weight
-    return favourite
+            preferred, highest = candidate.id, weight
+    return preferred
 
 
-@functools.lru_cache(KEPT_HASHES)
+@functools.lru_cache(MAX_CACHED_HASHES)
 def hash_name(name):
-    """Return a name's hash, odd, the same on every host.
+    """Return an odd hash of a name, the same on every host.
 
-    The product of two of them, cut to their size, ranks endpoints for a
-    key as well as a hash of both names would, without hashing anew.
+    The truncated product of two such hashes ranks endpoints for a key as well
+    as a hash of both names would, without another hash computation.
     """
     digest = hashlib.blake2b(name.encode(), digest_size=HASH_BYTES).digest()
     return int.from_bytes(digest) | 1
--- a/pearrun/decisions/prefixes.py
+++ b/pearrun/decisions/prefixes.py
@@ -1,27 +1,27 @@
-"""What prompt parts are cached where, by what was sent there.
+"""Tracks which prompt parts are likely cached at which endpoint.
 
-Load pattern: calls on one subject share a long prompt beginning.  A
-host notes which parts it sent to which endpoint; entries age, because
-an endpoint drops the parts it used least recently.
+Load pattern: calls on the same subject share a long prompt prefix. A host
+records which parts it sent to which endpoint. The entries expire, because an
+endpoint evicts the least recently used parts.
 """
 
 import collections
 
-# How long a part is taken to stay cached after its last use.
-KEPT_MS = 20_000
-# Most (endpoint, part) pairs kept; at some 200 bytes each, 1.6 MB.
+# How long a part is assumed to stay cached after its last use.
+ENTRY_TTL_MS = 20_000
+# Maximum number of (endpoint, part) pairs; at about 200 bytes each, 1.6 MB.
 MAX_ENTRIES = 8_000
 
 
 class PrefixIndex:
-    """Last use of prompt parts by endpoint."""
+    """Time of last use of prompt parts by endpoint."""
 
     def __init__(self):
         self._used = collections.OrderedDict()
         self._by_part = {}
 
     def note(self, endpoint_id, parts, now_ms):
-        """Note that an endpoint has read a prompt's shared parts."""
+        """Record that an endpoint has processed the shared prompt parts."""
         for part in parts:
             key = (part.id, endpoint_id)
             self._used[key] = now_ms
@@ -31,28 +31,27 @@
             self._forget_oldest()
 
     def find_cached(self, parts, now_ms):
-        """Return how many leading tokens each endpoint should have.
+        """Return the number of leading tokens that endpoints have cached.
 
-        :returns: tokens by endpoint id; endpoints without any are left
-            out.
+        :returns: tokens by endpoint id; endpoints without any are left out.
         """
         cached = {}
-        known = None
+        common = None
         for part in parts:
             holders = {
                 endpoint_id
                 for endpoint_id, used_ms in self._by_part.get(
                     part.id, {}
                 ).items()
-                if now_ms - used_ms <= KEPT_MS
+                if now_ms - used_ms <= ENTRY_TTL_MS
             }
-            known = holders if known is None else known & holders
-            for endpoint_id in known:
+            common = holders if common is None else common & holders
+            for endpoint_id in common:
                 cached[endpoint_id] = cached.get(endpoint_id, 0) + part.tokens
         return cached
 
     def holds(self, endpoint_id, part_id):
-        """Say whether an endpoint was noted to have read a part."""
+        """Say whether a part is recorded for an endpoint."""
         return (part_id, endpoint_id) in self._used
 
     def _forget_oldest(self):
--- a/pearrun/decisions/quarantine.py
+++ b/pearrun/decisions/quarantine.py
@@ -1,21 +1,22 @@
-"""Which requests are kept from endpoints because they crash them.
-
-Load pattern: a request crashes each endpoint that begins to run it, and its
-caller sends it again and again, to any host.  Each crash breaks the good
-calls beside it too, many of them several times in a row, and endpoints also
-crash for reasons of their own, many at once.
-
-A request is quarantined when enough endpoints have crashed under it and none
-of its runs was answered shortly before: one that endpoints survive has not
-crashed them.  A crash is held against one request only, the one under which
-most endpoints crashed, so that calls which were beside it by chance go on.
+"""Quarantine of requests that crash endpoints.
+
+Load pattern: a request crashes every endpoint that starts to run it, and its
+caller keeps sending it again, through any host. Each crash also breaks the
+unrelated calls on the endpoint, many of them several times in a row. Endpoints
+also crash for other reasons, many at once.
+
+A request is quarantined if enough endpoints crashed while running it and none
+of its runs was answered shortly before, since a request that endpoints survive
+is not the cause. Each crash is attributed to a single request, the one with
+the most crashes, so that calls that were running on the same endpoints by
+coincidence are not quarantined.
 """
 
 import collections
 import dataclasses
 
-from pearrun.decisions.evidence import rank
-from pearrun.decisions.evidence import select_worst
+from pearrun.decisions.evidence import make_sort_key
+from pearrun.decisions.evidence import select_most_suspect
 from pearrun.decisions.evidence import Suspect
 
 
@@ -23,34 +24,38 @@
 class QuarantineSettings:
     """Limits of the quarantine.
 
-    :param min_crashes: endpoints that must have crashed under a request.
-    :param trust_ms: how long after an answer crashes do not count.
-    :param hold_ms: time in quarantine, from the last crash on.
-    :param keep_ms: time from the last crash until a request is forgotten;
-        after the quarantine one crash begins it anew.
-    :param max_suspects: requests remembered.
-    :param max_crashes: crashes remembered of each.
-    :param unproven_ms: how long a crash counts that is not proven; a request
-        is quarantined for no longer than that because of it.
-    :param max_alive: endpoints remembered whose crash was taken back.
+    :param min_crashes: number of endpoints that must have crashed under a
+        request.
+    :param trust_ms: time after a successful run during which crashes are not
+        counted.
+    :param quarantine_ms: duration of the quarantine, from the last crash.
+    :param retention_ms: time from the last crash until a request is forgotten;
+        between the end of the quarantine and then, a single crash renews the
+        quarantine.
+    :param max_suspects: maximum number of requests remembered.
+    :param max_crashes: maximum number of crashes remembered for each request.
+    :param unproven_ms: how long an unconfirmed crash counts; also the maximum
+        duration of a quarantine that is based on it.
+    :param max_retracted: maximum number of endpoints remembered whose crash
+        was retracted.
     """
 
     min_crashes: int = 3
     trust_ms: int = 30_000
-    hold_ms: int = 600_000
-    keep_ms: int = 1_200_000
+    quarantine_ms: int = 600_000
+    retention_ms: int = 1_200_000
     max_suspects: int = 256
     max_crashes: int = 32
     unproven_ms: int = 3500
-    max_alive: int = 256
+    max_retracted: int = 256
 
 
 class Suspects:
-    """What is known of requests under which endpoints crashed.
+    """Requests that are suspected of crashing endpoints.
 
-    What several hosts know can be merged in any order, and again.
+    Reports of several hosts can be merged in any order and repeatedly.
 
-    ``quarantined`` has the end of each quarantine, by fingerprint.
+    ``quarantined`` maps fingerprints to the end of their quarantine.
     """
 
     def __init__(self, settings=None):
@@ -58,16 +63,16 @@
         self.suspects = {}
         self.quarantined = {}
         self._crashed_ms = {}
-        self._alive = collections.OrderedDict()
+        self._retracted = collections.OrderedDict()
 
     def note_crash(self, fingerprint, crash):
-        """Note that an endpoint crashed under a request.
+        """Record that an endpoint crashed while running a request.
 
-        :param crash: the :class:`Crash`; known ones change nothing.
-        :returns: whether it was news.
+        :param crash: the :class:`Crash`; a known one changes nothing.
+        :returns: whether it was new.
         """
-        alive_ms = self._alive.get(crash.endpoint_id)
-        if alive_ms is not None and crash.at_ms <= alive_ms:
+        retracted_ms = self._retracted.get(crash.endpoint_id)
+        if retracted_ms is not None and crash.at_ms <= retracted_ms:
             return False
         suspect = self.suspects.get(fingerprint)
         if suspect is None:
@@ -84,9 +89,9 @@
         return True
 
     def note_answered(self, fingerprint, at_ms):
-        """Note that an endpoint answered a request and went on.
+        """Record that an endpoint answered a request without crashing.
 
-        :returns: whether it was news.
+        :returns: whether it was new.
         """
         suspect = self.suspects.get(fingerprint)
         if suspect is None:
@@ -102,58 +107,60 @@
         return True
 
     def find_crash_ms(self, endpoint_id):
-        """Return when an endpoint crashed; ``None`` if it has not."""
+        """Return when an endpoint crashed; ``None`` if it did not."""
         return self._crashed_ms.get(endpoint_id)
 
-    def rule_out(self, endpoint_id, now_ms):
-        """Take back an endpoint's crash: it is still there."""
-        self._alive.pop(endpoint_id, None)
-        self._alive[endpoint_id] = now_ms
-        while len(self._alive) > self.settings.max_alive:
-            self._alive.popitem(last=False)
+    def retract_crash(self, endpoint_id, now_ms):
+        """Retract the crash of an endpoint that turned out to be alive."""
+        self._retracted.pop(endpoint_id, None)
+        self._retracted[endpoint_id] = now_ms
+        while len(self._retracted) > self.settings.max_retracted:
+            self._retracted.popitem(last=False)
         for suspect in list(self.suspects.values()):
             suspect.crashes.pop(endpoint_id, None)
             if not suspect.crashes and suspect.answered_ms is None:
                 del self.suspects[suspect.fingerprint]
 
     def judge(self, now_ms):
-        """Forget what is old and find out what is quarantined now."""
+        """Drop expired records and determine the quarantined requests."""
         self._forget_old(now_ms)
         self._crashed_ms = {
             crash.endpoint_id: crash.at_ms
             for suspect in self.suspects.values()
             for crash in suspect.crashes.values()
         }
-        least = self.settings.min_crashes
-        open_cases = [
+        min_weight = self.settings.min_crashes
+        candidates = [
             suspect
             for suspect in self.suspects.values()
-            if suspect.weigh() >= least
+            if suspect.weigh() >= min_weight
         ]
         explained = set()
         quarantined = {}
-        while open_cases:
-            worst = max(open_cases, key=lambda item: rank(item, explained))
-            if worst.weigh(explained) < least:
+        while candidates:
+            strongest = max(
+                candidates, key=lambda item: make_sort_key(item, explained)
+            )
+            if strongest.weigh(explained) < min_weight:
                 break
-            open_cases.remove(worst)
-            until_ms = self._find_end(worst, explained)
-            explained.update(worst.crashes)
+            candidates.remove(strongest)
+            until_ms = self._compute_end_ms(strongest, explained)
+            explained.update(strongest.crashes)
             if now_ms < until_ms:
-                quarantined[worst.fingerprint] = until_ms
+                quarantined[strongest.fingerprint] = until_ms
         self.quarantined = quarantined
 
     def is_proven(self, fingerprint):
-        """Say whether a request is quarantined for crashes that are proven."""
-        weight = self.suspects[fingerprint].weigh(with_unproven=False)
+        """Say whether confirmed crashes alone justify a quarantine."""
+        weight = self.suspects[fingerprint].weigh(include_unproven=False)
         return weight >= self.settings.min_crashes
 
-    def _find_end(self, suspect, explained):
-        """Return until when a suspect is quarantined."""
-        weight = suspect.weigh(explained, with_unproven=False)
+    def _compute_end_ms(self, suspect, explained):
+        """Return the end of the quarantine of a suspect."""
+        weight = suspect.weigh(explained, include_unproven=False)
         if weight >= self.settings.min_crashes:
-            return suspect.last_ms + self.settings.hold_ms
-        return suspect.last_ms + self.settings.unproven_ms
+            return suspect.last_crash_ms + self.settings.quarantine_ms
+        return suspect.last_crash_ms + self.settings.unproven_ms
 
     def _is_trusted(self, suspect, crash):
         answered_ms = suspect.answered_ms
@@ -172,11 +179,13 @@
             if not suspect.crashes and suspect.answered_ms is None:
                 del self.suspects[suspect.fingerprint]
                 continue
-            keep_ms = (
-                settings.keep_ms if suspect.crashes else settings.trust_ms
+            expiry_ms = (
+                settings.retention_ms if suspect.crashes else settings.trust_ms
             )
-            if now_ms - suspect.touched_ms > keep_ms:
+            if now_ms - suspect.last_event_ms > expiry_ms:
                 del self.suspects[suspect.fingerprint]
         if len(self.suspects) > settings.max_suspects:
-            worst = select_worst(self.suspects.values(), settings.max_suspects)
-            self.suspects = {item.fingerprint: item for item in worst}
+            strongest = select_most_suspect(
+                self.suspects.values(), settings.max_suspects
+            )
+            self.suspects = {item.fingerprint: item for item in strongest}
--- a/pearrun/decisions/quota.py
+++ b/pearrun/decisions/quota.py
@@ -1,71 +1,76 @@
-"""A customer's quota, kept by all hosts together.
-
-Load pattern: one customer sends several times its limit, in calls of
-very unequal size, through hosts that see unequal parts of it.  Dividing
-the limit between hosts refuses large calls below it; so each host keeps
-the whole bucket and takes from it what the others say they admitted.
-What they admitted since their last reports is covered by a reserve.  A
-host that is not heard is taken to go on as before, so that hosts cut
-off from each other do not use the limit twice.
+"""Enforces the quota of a customer across all hosts.
+
+Load pattern: one customer sends several times its limit, in calls of very
+unequal size, through hosts that see unequal parts of the traffic. Dividing the
+limit between the hosts would reject large calls below the limit. Instead, each
+host keeps the whole token bucket and subtracts what the other hosts report to
+have admitted. A reserve covers what they have admitted since their last
+reports. A host that stops reporting is assumed to continue at its last rate,
+so that partitioned hosts do not use the limit twice.
 """
 
 import dataclasses
 
-# Age of a report as it is used: the report period, its way, and the
-# wait of the host that uses it.  Through hubs it waits for two more rounds.
+# Age of a report at the time of use: the report period, its transmission and
+# the delay until the receiving host uses it. Through hubs, two more rounds are
+# added.
 MESH_LAG_S = 0.35
 HUB_LAG_S = 0.75
-# Part of the refill that is used through hubs.  Many hosts that hear late
-# of what the others admit all find the bucket filled at once and empty it
-# again.
-HUB_REFILL = 0.92
-# Largest part of the burst held back for what others have not reported.
-MOST_RESERVED = 0.7
-# A call of at most this part of the burst is small: a thousandth or two of
-# it, where the larger calls of a model's customer take some hundredths.
-SMALL_SHARE = 0.002
-# How far below the level at which larger calls are refused small ones still
-# pass, as a part of the burst: a little more than one round of the other
-# hosts' reports takes.  Refusing them frees nothing.
-SMALL_DEPTH = 0.7
-# Debt beyond this much of the rate is forgotten, in seconds: calls that
-# were admitted too many are made up for within a quota's window.
-MOST_DEBT_S = 4.0
-# Without a report for this long, a host is taken to go on as before.
-SILENT_MS = 600
-# Level at which a host starts, as a part of its share of the burst: what
-# was used before its start is not known.  A lower one refuses customers below
-# their limits after all hosts have started again.
-FIRST_LEVEL = 0.5
-# After its start a host uses the limit's part of the hosts it has heard,
-# times this: hosts that were killed at once would else each use the whole.
-START_SHARE = 1.0
-# Until when a host that is listed and not heard is taken to be starting
-# too; links are up about a second after a start.
-START_MS = 5000
-# Part of the limit for a host that does not know the other hosts yet.
-UNLISTED_SHARE = 0.1
-# Part of the tolerated excess that is used; the rest covers calls that
-# several hosts admit before they hear of each other's.
-TOLERANCE_USED = 0.15
-# Half-life of the average rate that others assume while they do not hear
-# a host: calls differ a hundredfold in size, so that an average over a second
-# tells little.
+# Fraction of the refill rate that is used with hubs. Many hosts that learn
+# late of what the others admit would all find the bucket full at the same time
+# and drain it again.
+HUB_REFILL_FACTOR = 0.92
+# Maximum fraction of the burst that is reserved for unreported usage of
+# others.
+MAX_RESERVED_SHARE = 0.7
+# A call of up to this fraction of the burst is small. Small calls take one or
+# two thousandths of it, the larger calls of a customer of a model some
+# hundredths.
+SMALL_CALL_SHARE = 0.002
+# How far below the level at which larger calls are rejected small ones are
+# still admitted, as a fraction of the burst: slightly more than the other
+# hosts use in one report round. Rejecting small calls would free almost
+# nothing.
+SMALL_CALL_OVERDRAFT_SHARE = 0.7
+# Debt is capped at this many seconds of the rate, so that an excess is
+# compensated within the window of a quota.
+MAX_DEBT_S = 4.0
+# A host without reports for this long is assumed to continue at its last rate.
+REPORT_TIMEOUT_MS = 600
+# Initial level of a bucket as a fraction of this host's share of the burst,
+# since usage before its start is unknown. A lower level rejects calls of
+# customers below their limits after a restart of all hosts.
+INITIAL_LEVEL_SHARE = 0.5
+# After its start, a host uses the share of the limit that corresponds to the
+# hosts it has heard from, times this factor. Otherwise hosts that were killed
+# at the same time would each use the whole limit.
+STARTUP_FACTOR = 1.0
+# Until this age of its own, a host assumes that listed hosts which have not
+# reported are starting too. Links are up about a second after a start.
+STARTUP_MS = 5000
+# Share of the limit for a host that does not know the other hosts yet.
+UNKNOWN_MEMBERS_SHARE = 0.1
+# Fraction of the tolerated excess that is used; the rest covers calls that
+# several hosts admit before they receive each other's reports.
+TOLERANCE_SHARE = 0.15
+# Half-life of the average rate that others assume while a host does not
+# report. Call sizes differ by a factor of a hundred, so an average over one
+# second would be too noisy.
 RATE_HALF_LIFE_S = 4.0
-# Time without use that an average begins with.  A large call is told at
-# once: its units over the few milliseconds since the last report would make a
-# rate whose reserve refuses nearly all calls for a while.  A longer time would
-# let the two halves of a cut use too much.
-IDLE_S = 1.3
+# Length of the idle period with which an average starts. A large call is
+# reported at once; its units divided by the few milliseconds since the last
+# report would give a rate whose reserve blocks nearly all calls for a while. A
+# longer period would let the two sides of a partition use too much.
+INITIAL_IDLE_S = 1.3
 
 
 @dataclasses.dataclass(frozen=True)
 class QuotaSettings:
-    """How a limit is judged: by the units of any span of some length.
+    """How compliance with a limit is measured.
 
-    In any span of ``window_s`` seconds a customer may use ``window_s``
-    times its rate plus its burst, a part ``over`` more, and ``slack``
-    units more.
+    In any time span of ``window_s`` seconds a customer may use ``window_s``
+    times its rate plus its burst, plus the fraction ``over`` of that, plus
+    ``slack`` units.
     """
 
     window_s: float
@@ -73,67 +78,67 @@
     slack: float
 
 
-def refill_rate(rate_per_s, burst, settings, through_hubs=False):
-    """Return the rate at which a bucket of one burst may be refilled.
+def compute_refill_rate(rate_per_s, burst, settings, through_hubs=False):
+    """Return the refill rate of a bucket that holds one burst.
 
-    A full bucket and the refill of one window together use the limit
-    of that window and no more.
+    A full bucket and the refill during one window together amount to the limit
+    for that window.
 
-    :param through_hubs: whether hosts hear of each other through hubs.
-    :returns: units a second; else at least ``rate_per_s``.
+    :param through_hubs: whether hosts receive reports through hubs.
+    :returns: units per second, at least ``rate_per_s`` without hubs.
     """
     limit = rate_per_s * settings.window_s + burst
-    limit *= 1 + settings.over * TOLERANCE_USED
-    limit += settings.slack * TOLERANCE_USED
+    limit *= 1 + settings.over * TOLERANCE_SHARE
+    limit += settings.slack * TOLERANCE_SHARE
     rate = max(rate_per_s, (limit - burst) / settings.window_s)
-    return rate * HUB_REFILL if through_hubs else rate
+    return rate * HUB_REFILL_FACTOR if through_hubs else rate
 
 
-def start_share(heard, others, listed, age_ms):
-    """Return the part of a limit that a host may use after its start.
+def compute_startup_share(heard, others, listed, age_ms):
+    """Return the share of a limit that a host may use after its start.
 
-    :param heard: other hosts it has heard.
-    :param others: other hosts that are listed.
-    :param listed: whether the list was read.
-    :param age_ms: time since its start.
-    :returns: 1 once it hears all, or after a while.
+    :param heard: number of other hosts that have reported.
+    :param others: number of other hosts in the membership list.
+    :param listed: whether the membership list has been read.
+    :param age_ms: time since the start of this host.
+    :returns: 1 once all hosts have reported, or after a while.
     """
-    if age_ms > START_MS:
+    if age_ms > STARTUP_MS:
         return 1.0
     if not listed:
-        return UNLISTED_SHARE
+        return UNKNOWN_MEMBERS_SHARE
     if heard >= others:
         return 1.0
-    return min(1.0, START_SHARE * (1 + heard) / (1 + others))
+    return min(1.0, STARTUP_FACTOR * (1 + heard) / (1 + others))
 
 
 @dataclasses.dataclass
 class RateAverage:
-    """Moving average of units used in a second, of none before the first."""
+    """Moving average of units per second, starting from an idle period."""
 
     units: float = 0.0
-    seconds: float = IDLE_S
+    seconds: float = INITIAL_IDLE_S
 
     def add(self, units, elapsed_s):
-        """Add what was used in the last ``elapsed_s`` seconds."""
-        keep = 0.5 ** (elapsed_s / RATE_HALF_LIFE_S)
-        self.units = self.units * keep + units
-        self.seconds = self.seconds * keep + elapsed_s
+        """Add the units used in the last ``elapsed_s`` seconds."""
+        decay = 0.5 ** (elapsed_s / RATE_HALF_LIFE_S)
+        self.units = self.units * decay + units
+        self.seconds = self.seconds * decay + elapsed_s
 
     @property
     def rate(self):
-        """Units a second."""
+        """Units per second."""
         return self.units / self.seconds
 
 
 @dataclasses.dataclass
-class PeerUse:
-    """What another host said it admitted for one customer.
+class PeerUsage:
+    """Usage of one customer as reported by another host.
 
     :param base: its total when it was first heard.
-    :param total: units since its start.
-    :param rate: units a second lately.
-    :param assumed: units taken as used since its last report.
+    :param total: units admitted since the start of that host.
+    :param rate: recent units per second.
+    :param assumed: units assumed to be used since its last report.
     """
 
     base: float = 0.0
@@ -144,86 +149,86 @@
 
     @property
     def used(self):
-        """Units since it was first heard, as far as is known."""
+        """Units used since the host was first heard, as far as known."""
         return self.total - self.base + self.assumed
 
 
 class SharedBucket:
-    """One customer's bucket as one host sees it.
+    """The token bucket of one customer as seen by one host.
 
-    :param burst: this host's share of the units it holds at the most.
+    :param burst: this host's share of the maximum level.
     :param now_ms: monotonic time.
     """
 
     def __init__(self, burst, now_ms):
-        self.level = burst * FIRST_LEVEL
+        self.level = burst * INITIAL_LEVEL_SHARE
         self.updated_ms = now_ms
         self.peers = {}
 
     def refill(self, rate_per_s, burst, now_ms):
-        """Add what has accrued, less what silent hosts are taken to use."""
+        """Add the accrued units, less the assumed usage of silent hosts."""
         elapsed_s = max(0, now_ms - self.updated_ms) / 1000.0
         self.updated_ms = now_ms
         self.level += rate_per_s * elapsed_s
-        for use in self.peers.values():
-            if now_ms - use.reported_ms > SILENT_MS:
-                units = use.rate * elapsed_s
-                use.assumed += units
+        for usage in self.peers.values():
+            if now_ms - usage.reported_ms > REPORT_TIMEOUT_MS:
+                units = usage.rate * elapsed_s
+                usage.assumed += units
                 self.level -= units
-        lowest = -rate_per_s * MOST_DEBT_S
-        self.level = max(lowest, min(burst, self.level))
+        min_level = -rate_per_s * MAX_DEBT_S
+        self.level = max(min_level, min(burst, self.level))
 
-    def take_report(self, peer, total, rate, now_ms, heard=False):
-        """Take what another host admitted.
+    def apply_report(self, peer, total, rate, now_ms, heard=False):
+        """Apply the report of another host.
 
-        :param peer: the host's run; a new run counts from zero.
-        :param total: units it admitted since its start.
-        :param heard: whether the host was heard before.  If so, it had
+        :param peer: the run of the host; a new run counts from zero.
+        :param total: units that it admitted since its start.
+        :param heard: whether that host has reported before. If so, it had
             admitted nothing for this customer until now.
         """
-        use = self.peers.get(peer)
-        if use is None:
-            # What it admitted before this host heard it is past.
+        usage = self.peers.get(peer)
+        if usage is None:
+            # What it admitted before it was first heard is not counted.
             base = 0.0 if heard else total
-            use = self.peers[peer] = PeerUse(base=base, total=base)
-        self.level -= (total - use.total) - use.assumed
-        use.total = total
-        use.rate = rate
-        use.assumed = 0.0
-        use.reported_ms = now_ms
+            usage = self.peers[peer] = PeerUsage(base=base, total=base)
+        self.level -= (total - usage.total) - usage.assumed
+        usage.total = total
+        usage.rate = rate
+        usage.assumed = 0.0
+        usage.reported_ms = now_ms
 
     def forget(self, peer):
-        """Drop a host that has ended.
+        """Remove a host that has ended.
 
-        :returns: the units it was taken to have used.
+        :returns: the units that it was assumed to have used.
         """
-        use = self.peers.pop(peer, None)
-        return use.used if use else 0.0
+        usage = self.peers.pop(peer, None)
+        return usage.used if usage else 0.0
 
     def take(self, units, burst, lag_s, settled=True):
-        """Use units if the bucket may still be used.
+        """Take units from the bucket if the call may be admitted.
 
-        :param lag_s: age of the others' reports as they are used.
-        :param settled: whether this host has its whole part of the limit;
-            one that has just started does not know what others admit.
+        :param lag_s: age of the reports of other hosts at the time of use.
+        :param settled: whether this host may use its whole share of the limit;
+            a host that has just started does not know what others admit.
 
-        A call larger than what is left passes and leaves a debt, so
-        that larger calls of every size are served alike; small ones
-        pass while larger ones have to wait.
+        A call larger than the remaining level is admitted and leaves a debt,
+        so that large calls of every size are treated alike. Small calls are
+        still admitted while larger ones have to wait.
         """
-        missing = self.missing(burst, lag_s)
-        if settled and units <= burst * SMALL_SHARE:
-            missing -= burst * SMALL_DEPTH
-        if missing >= 0:
+        shortfall = self.compute_shortfall(burst, lag_s)
+        if settled and units <= burst * SMALL_CALL_SHARE:
+            shortfall -= burst * SMALL_CALL_OVERDRAFT_SHARE
+        if shortfall >= 0:
             return False
         self.level -= units
         return True
 
-    def missing(self, burst, lag_s):
-        """Return the units that must accrue before a call passes.
+    def compute_shortfall(self, burst, lag_s):
+        """Return the units that must accrue before a call is admitted.
 
-        :returns: less than 0 if one passes now.
+        :returns: less than 0 if a call is admitted now.
         """
-        others = sum(use.rate for use in self.peers.values())
-        reserve = min(others * lag_s, burst * MOST_RESERVED)
+        others = sum(usage.rate for usage in self.peers.values())
+        reserve = min(others * lag_s, burst * MAX_RESERVED_SHARE)
         return reserve - self.level
--- a/pearrun/decisions/scaling.py
+++ b/pearrun/decisions/scaling.py
@@ -1,68 +1,70 @@
-"""How many endpoints to order, where, and of which kind.
-
-Load pattern: waves of demand on endpoints paid by the second, while the
-platform reclaims all cheap endpoints of a zone at a few seconds'
-notice, often several zones in a row, and sells no more of them for a
-while.  A reclaimable endpoint costs under a fifth of another one, so
-each zone gets so many that the loss of any one zone leaves enough.
-Lasting endpoints fill exactly what the loss of one more zone would
-leave short, and are given back once reclaimable ones serve again.
+"""Scaling: how many endpoints to order, in which zones, of which kind.
+
+Load pattern: waves of demand on endpoints that are billed by the second. The
+platform reclaims all reclaimable endpoints of a zone with a few seconds'
+notice, often in several zones in succession, and then offers none for a while.
+A reclaimable (spot) endpoint costs less than a fifth of an on-demand one, so
+enough of them are ordered in each zone that losing any single zone leaves
+sufficient capacity. On-demand endpoints only cover the shortfall that the loss
+of one more zone would cause, and are released once reclaimable ones serve
+again.
 """
 
 import dataclasses
 import math
 
-# Places of a zone that lasting endpoints never take.
-ROOM_TO_RETURN = 2
+# Places of a zone that are never given to on-demand endpoints.
+RECLAIMABLE_RESERVE = 2
 
 
 @dataclasses.dataclass(frozen=True)
 class ScalingSettings:
     """Limits of the orders.
 
-    :param fewest: endpoints of a service that always serve.
-    :param slots_share: part of an endpoint's slots that calls should take;
-        clumps and one endpoint's share of a wave take the rest.
-    :param wait_share: part of the latency target that a call may wait on
-        the average for prompts being read before its own, if each went
-        where least is to be read; reports are up to 0.35 s old, so calls
-        wait for several times as long, and a tenth of them three times more.
-    :param most_reading: largest part of an endpoint's time that goes into
-        reading prompts; tokens of running calls come in the rest.
-    :param limit_units_each: units a second of customers' limits for which
-        one endpoint is kept while no load has been seen yet.
-    :param spare: reclaimable endpoints ordered beyond what is needed,
-        in each zone: a boot takes seconds, a burst comes at once.
-    :param hold_ms: how long the highest need of the past still counts
-        for reclaimable endpoints, so that a wave's trough does not give
-        those away that its next crest needs.
-    :param lasting_hold_ms: the same for lasting ones, which cost five
+    :param min_endpoints: minimum number of endpoints of a service.
+    :param slot_utilization: target utilization of the slots of an endpoint;
+        the rest absorbs bursts and the uneven distribution of a wave.
+    :param wait_share: fraction of the latency target that a call may wait on
+        average for the prompts ahead of it, if each went to the endpoint with
+        the least work. Reports are up to 0.35 s old, so calls wait several
+        times as long, and a tenth of them three times longer still.
+    :param max_prefill_share: maximum fraction of an endpoint's time spent on
+        processing prompts; running calls generate their tokens in the rest.
+    :param limit_units_per_endpoint: units per second of the customers' limits
+        for which one endpoint is provided before any load was observed.
+    :param spare: reclaimable endpoints ordered in each zone beyond the need,
+        since a boot takes seconds and a burst arrives at once.
+    :param hold_ms: time window over which the maximum need counts for
+        reclaimable endpoints, so that the trough of a wave does not release
+        endpoints that its next crest needs.
+    :param on_demand_hold_ms: the same for on-demand endpoints, which cost five
         times as much and boot in a few seconds.
-    :param release_ms: how long fewer lasting endpoints must suffice
-        before any are given back.
-    :param uneven: times the reclaimable endpoints that are needed where
-        hosts hear of each other's calls late, so that endpoints are loaded
-        less evenly; their calls find slots and short queues all the same.
+    :param release_ms: how long a smaller number of on-demand endpoints must
+        suffice before any are released.
+    :param imbalance_factor: multiplier of the need for reclaimable endpoints
+        if hosts receive each other's reports late through hubs, which makes
+        the load of the endpoints uneven; with it calls still find free slots
+        and short queues.
     """
 
-    fewest: int = 4
-    slots_share: float = 0.5
+    min_endpoints: int = 4
+    slot_utilization: float = 0.5
     wait_share: float = 0.1
-    most_reading: float = 0.6
-    limit_units_each: float = 100_000.0
+    max_prefill_share: float = 0.6
+    limit_units_per_endpoint: float = 100_000.0
     spare: int = 1
     hold_ms: int = 30_000
-    lasting_hold_ms: int = 10_000
+    on_demand_hold_ms: int = 10_000
     release_ms: int = 1_500
-    uneven: float = 1.2
+    imbalance_factor: float = 1.2
 
 
 @dataclasses.dataclass(frozen=True)
 class Order:
-    """That a zone should have a number of endpoints of a service.
+    """The desired number of endpoints of a service in a zone.
 
-    :param reclaimable: counts the endpoints that may be reclaimed;
-        those that may not are ordered apart.
+    :param reclaimable: whether the order is for reclaimable endpoints; those
+        that cannot be reclaimed are ordered separately.
     """
 
     service: str
@@ -73,43 +75,45 @@
 
 @dataclasses.dataclass(frozen=True)
 class ZoneCount:
-    """Endpoints of a service that serve in a zone now."""
+    """Endpoints of a service that are currently serving in a zone."""
 
     reclaimable: int = 0
-    lasting: int = 0
+    on_demand: int = 0
 
     def of_kind(self, reclaimable):
         """Return the count of one kind."""
-        return self.reclaimable if reclaimable else self.lasting
+        return self.reclaimable if reclaimable else self.on_demand
 
 
 @dataclasses.dataclass(frozen=True)
 class Need:
-    """Endpoints that the load needs in all zones together.
+    """Number of endpoints that the load requires in all zones together.
 
-    :param lasting: need by which lasting endpoints are ordered.
-    :param reclaimable: need by which reclaimable ones are.
+    Written to the log with these field names.
+
+    :param lasting: the need that determines on-demand endpoints.
+    :param reclaimable: the need that determines reclaimable endpoints.
     """
 
     lasting: int
     reclaimable: int
 
 
-def hold_need(past, now_ms, settings, through_hubs=False):
-    """Return the :class:`Need` by what was needed lately.
+def compute_need(history, now_ms, settings, through_hubs=False):
+    """Return the :class:`Need` from the recent history.
 
-    :param past: how many endpoints the demand needed, by time.
-    :param through_hubs: whether hosts hear of each other through hubs.
+    :param history: number of endpoints that the demand required, by time.
+    :param through_hubs: whether hosts receive reports through hubs.
     """
-    lasting = max(
+    on_demand = max(
         needed
-        for at_ms, needed in past.items()
-        if now_ms - at_ms <= settings.lasting_hold_ms
+        for at_ms, needed in history.items()
+        if now_ms - at_ms <= settings.on_demand_hold_ms
     )
-    reclaimable = max(past.values())
+    reclaimable = max(history.values())
     if through_hubs:
-        reclaimable = math.ceil(reclaimable * settings.uneven)
-    return Need(lasting, reclaimable)
+        reclaimable = math.ceil(reclaimable * settings.imbalance_factor)
+    return Need(on_demand, reclaimable)
 
 
 def plan_orders(service, limits, zones, need, settings):
@@ -119,89 +123,92 @@
     :param limits: its :class:`ScaleLimits`.
     :param zones: :class:`ZoneCount` by zone.
     :param need: the :class:`Need`.
-    :returns: a list of :class:`Order`, two a zone; those that add
-        lasting endpoints come first.
+    :returns: a list of :class:`Order`, two for each zone; those for on-demand
+        endpoints come first.
     """
     spare = max(0, count_serving(zones) - need.lasting)
-    kept = keep_reclaimable(zones, spare)
+    retained = retain_reclaimable(zones, spare)
     places = {
-        zone: min(most_lasting(limits), limits.largest - count)
-        for zone, count in kept.items()
+        zone: min(compute_max_on_demand(limits), limits.largest - count)
+        for zone, count in retained.items()
     }
-    total = count_lasting(zones, need.lasting)
-    lasting = spread_lasting(limits, places, total)
-    each = reclaimable_in_zone(limits, len(zones), need.reclaimable, settings)
+    total = count_on_demand(zones, need.lasting)
+    on_demand = distribute_on_demand(limits, places, total)
+    per_zone = count_reclaimable_per_zone(
+        limits, len(zones), need.reclaimable, settings
+    )
     reclaimable = {}
-    for zone, count in lasting.items():
-        taken = max(count, zones[zone].lasting)
-        room = max(0, limits.largest - taken)
-        reclaimable[zone] = min(max(each, kept[zone]), room)
+    for zone, count in on_demand.items():
+        on_demand_total = max(count, zones[zone].on_demand)
+        room = max(0, limits.largest - on_demand_total)
+        reclaimable[zone] = min(max(per_zone, retained[zone]), room)
         spare -= max(0, zones[zone].reclaimable - reclaimable[zone])
-    # What reclaimable ones leave of the spare, lasting ones may give back.
-    lasting = keep_lasting(lasting, zones, max(0, spare))
+    # On-demand endpoints may be released from the spare ones that remain after
+    # the release of reclaimable ones.
+    on_demand = retain_on_demand(on_demand, zones, max(0, spare))
     return [
-        *(Order(service, zone, False, n) for zone, n in lasting.items()),
+        *(Order(service, zone, False, n) for zone, n in on_demand.items()),
         *(Order(service, zone, True, n) for zone, n in reclaimable.items()),
     ]
 
 
 def count_serving(zones):
-    """Return how many endpoints of both kinds serve in all zones."""
-    return sum(count.reclaimable + count.lasting for count in zones.values())
+    """Return the number of serving endpoints of both kinds."""
+    return sum(count.reclaimable + count.on_demand for count in zones.values())
 
 
-def count_lasting(zones, needed):
-    """Return how many lasting endpoints are needed in all zones.
+def count_on_demand(zones, needed):
+    """Return the number of on-demand endpoints needed in all zones.
 
-    They make up what the loss of the zone with most reclaimable
-    endpoints would leave short.
+    They cover the shortfall after a loss of the zone with the most reclaimable
+    endpoints.
     """
     counts = [count.reclaimable for count in zones.values()]
     safe = sum(counts) - max(counts, default=0)
     return max(0, needed - safe)
 
 
-def keep_reclaimable(zones, spare):
-    """Return how many reclaimable endpoints each zone keeps for now.
+def retain_reclaimable(zones, spare):
+    """Return how many reclaimable endpoints each zone retains for now.
 
-    Those that serve are given back only as far as the rest can do without:
-    what takes their place, here or in another zone, serves nobody until it
-    has booted.  Zones with most of them give back first, since the loss of
-    one of these costs most.
+    Serving endpoints are released only as far as the remaining ones suffice,
+    because their replacements, in the same or another zone, do not serve until
+    they have booted. Zones with the most reclaimable endpoints release first,
+    since losing one of these zones costs the most.
 
-    :param spare: endpoints that serve beyond the need.
+    :param spare: number of serving endpoints beyond the need.
     """
-    kept = {}
+    retained = {}
     for zone in sorted(zones, key=lambda name: -zones[name].reclaimable):
-        given_back = min(zones[zone].reclaimable, spare)
-        spare -= given_back
-        kept[zone] = zones[zone].reclaimable - given_back
-    return kept
+        released = min(zones[zone].reclaimable, spare)
+        spare -= released
+        retained[zone] = zones[zone].reclaimable - released
+    return retained
 
 
-def keep_lasting(counts, zones, spare):
-    """Return planned counts, raised where more than the spare would go.
+def retain_on_demand(counts, zones, spare):
+    """Return the planned counts, limiting the release to the spare ones.
 
-    :param counts: lasting endpoints planned by zone.
-    :param spare: endpoints that serve beyond the need.
+    :param counts: planned on-demand endpoints by zone.
+    :param spare: number of serving endpoints beyond the need.
     """
-    kept = {}
+    retained = {}
     for zone, count in counts.items():
-        given_back = min(max(0, zones[zone].lasting - count), spare)
-        spare -= given_back
-        kept[zone] = max(count, zones[zone].lasting - given_back)
-    return kept
+        released = min(max(0, zones[zone].on_demand - count), spare)
+        spare -= released
+        retained[zone] = max(count, zones[zone].on_demand - released)
+    return retained
 
 
-def spread_lasting(limits, places, total):
-    """Spread lasting endpoints over the zones, cheapest zones first.
+def distribute_on_demand(limits, places, total):
+    """Distribute on-demand endpoints over the zones, cheapest first.
 
-    Each zone gets its part, so that one cut off can serve its callers.
+    Each zone gets a share, so that an isolated zone can serve its callers.
 
-    :param places: the most that each zone may have.
+    :param places: maximum number for each zone.
     :returns: counts by zone.
     """
-    by_price = sorted(places, key=lambda zone: price_of(limits, zone))
+    by_price = sorted(places, key=lambda zone: get_price(limits, zone))
     counts = dict.fromkeys(by_price, 0)
     while total > 0:
         open_zones = [zone for zone in by_price if counts[zone] < places[zone]]
@@ -213,18 +220,18 @@
     return counts
 
 
-def most_lasting(limits):
-    """Return the most lasting endpoints of a zone.
+def compute_max_on_demand(limits):
+    """Return the maximum number of on-demand endpoints in a zone.
 
-    Room is left for a few reclaimable ones, which take their place one
-    after the other once they can be had again.
+    A few places are reserved for reclaimable endpoints, which replace the
+    on-demand ones one by one once they are available again.
     """
     if limits.reclaimable_price is None:
         return limits.largest
-    return max(1, limits.largest - ROOM_TO_RETURN)
+    return max(1, limits.largest - RECLAIMABLE_RESERVE)
 
 
-def reclaimable_in_zone(limits, zone_count, needed, settings):
+def count_reclaimable_per_zone(limits, zone_count, needed, settings):
     """Return how many reclaimable endpoints each zone should have."""
     if limits.reclaimable_price is None:
         return 0
@@ -233,63 +240,67 @@
     return max(limits.smallest, min(limits.largest, wanted))
 
 
-def price_of(limits, zone):
-    """Return what an endpoint's second costs in a zone."""
+def get_price(limits, zone):
+    """Return the price of an endpoint per second in a zone."""
     return limits.zone_prices.get(zone, 1.0)
 
 
-def expect_needed(limit_units, settings):
-    """Return how many endpoints to have before any load was seen.
+def estimate_initial_count(limit_units, settings):
+    """Return the number of endpoints before any load was observed.
 
-    A fleet that is taken over, or starts, before its load would else be
-    cut down to the fewest, and boot again under the first wave.
+    Without it, a fleet that starts, or is taken over by another host, before
+    its load arrives would be reduced to the minimum and would have to boot
+    endpoints under the first wave.
 
-    :param limit_units: units a second that all customers may use.
+    :param limit_units: units per second that all customers may use.
     """
-    expected = math.ceil(limit_units / settings.limit_units_each)
-    return max(settings.fewest, expected)
+    expected = math.ceil(limit_units / settings.limit_units_per_endpoint)
+    return max(settings.min_endpoints, expected)
 
 
 def count_needed(demand, tokens_per_ms, slots, settings):
-    """Return how many endpoints a demand needs.
+    """Return how many endpoints a demand requires.
 
-    It needs so many that calls find slots, and that prompts are read soon
-    enough; the greater of the two.
+    The number must suffice both for free slots and for timely processing of
+    prompts; the larger one counts.
 
     :param demand: the :class:`Demand` of all hosts.
-    :param tokens_per_ms: prompt tokens an endpoint reads in a millisecond.
-    :param slots: calls that an endpoint runs at once.
+    :param tokens_per_ms: prefill speed of an endpoint.
+    :param slots: number of concurrent calls of an endpoint.
     """
-    by_slots = math.ceil(demand.busy / (slots * settings.slots_share))
-    by_reading = count_readers(demand, tokens_per_ms, settings)
-    return max(settings.fewest, by_slots, by_reading)
+    by_slots = math.ceil(demand.busy / (slots * settings.slot_utilization))
+    by_prefill = count_for_prefill(demand, tokens_per_ms, settings)
+    return max(settings.min_endpoints, by_slots, by_prefill)
 
 
-def count_readers(demand, tokens_per_ms, settings):
-    """Return how many endpoints read a demand's prompts soon enough.
+def count_for_prefill(demand, tokens_per_ms, settings):
+    """Return how many endpoints process the prompts of a demand in time.
 
-    :param tokens_per_ms: prompt tokens an endpoint reads in a millisecond.
+    :param tokens_per_ms: prefill speed of an endpoint.
     """
-    # Endpoints that read all the time would just do.
+    # The number of endpoints that would just suffice if they processed prompts
+    # all the time.
     load = demand.tokens_per_s / (tokens_per_ms * 1000.0)
-    count = max(1, math.ceil(load / settings.most_reading))
+    count = max(1, math.ceil(load / settings.max_prefill_share))
     if not demand.target_ms or not demand.tokens_per_s:
         return count
-    left_ms = demand.squares_per_s / (2 * demand.tokens_per_s) / tokens_per_ms
-    most_ms = settings.wait_share * demand.target_ms
-    while left_ms * estimate_waits(load, count) > most_ms:
+    residual_ms = (
+        demand.squares_per_s / (2 * demand.tokens_per_s) / tokens_per_ms
+    )
+    max_wait_ms = settings.wait_share * demand.target_ms
+    while residual_ms * estimate_waits(load, count) > max_wait_ms:
         count += 1
     return count
 
 
 def estimate_waits(load, count):
-    """Estimate the mean wait of a call, where the least loaded is chosen.
+    """Estimate the mean wait if the least loaded endpoint is chosen.
 
-    Sakasegawa's approximation of a queue with several servers.
+    Uses Sakasegawa's approximation for a queue with several servers.
 
-    :param load: servers that would be busy all the time.
-    :returns: in units of the mean time left of a call being served.
+    :param load: offered load, in fully busy servers.
+    :returns: the wait, in units of the mean residual service time.
     """
-    busy = load / count
-    power = math.sqrt(2 * (count + 1)) - 1
-    return busy**power / (count * (1 - busy))
+    utilization = load / count
+    exponent = math.sqrt(2 * (count + 1)) - 1
+    return utilization**exponent / (count * (1 - utilization))
--- a/pearrun/platform/daemon.py
+++ b/pearrun/platform/daemon.py
@@ -10,8 +10,8 @@
 from pearrun.clock import Clock
 from pearrun.clock import to_seconds
 from pearrun.decisions.lease import LeaseView
-from pearrun.decisions.lease import QUIET_MARGIN_MS
-from pearrun.decisions.lease import QUIET_MS
+from pearrun.decisions.lease import TAKEOVER_DELAY_MS
+from pearrun.decisions.lease import TAKEOVER_MARGIN_MS
 from pearrun.http1.limits import ServerLimits
 from pearrun.http1.server import Server
 from pearrun.platform import settings as settings_module
@@ -107,8 +107,12 @@
         settings = self.settings
         if settings.duties is None:
             return None
-        quiet_ms = max(QUIET_MS, settings.lease_ms + QUIET_MARGIN_MS)
-        view = LeaseView(f'{settings.name}/{self.started_ms}', quiet_ms)
+        takeover_delay_ms = max(
+            TAKEOVER_DELAY_MS, settings.lease_ms + TAKEOVER_MARGIN_MS
+        )
+        view = LeaseView(
+            f'{settings.name}/{self.started_ms}', takeover_delay_ms
+        )
         calls = DutyClient(settings.duties.address, settings.name)
         scaler = Scaler(self.host, calls)
         log = LeaseLog(self.store, view, self.clock)
--- a/pearrun/relay/exchange.py
+++ b/pearrun/relay/exchange.py
@@ -1,7 +1,7 @@
 """One send of a call to one endpoint."""
 
 from pearrun import exceptions
-from pearrun.decisions.evidence import runs_well
+from pearrun.decisions.evidence import is_call_stable
 from pearrun.relay.events import EventCutter
 from pearrun.relay.outcomes import Answered
 from pearrun.relay.outcomes import Cut
@@ -242,7 +242,7 @@
         now = self.host.clock.now()
         ran_ms = now - self.sent_ms
         answered_ms = 0 if self.passed_ms is None else now - self.passed_ms
-        ran_well = runs_well(ran_ms, answered_ms)
+        ran_well = is_call_stable(ran_ms, answered_ms)
         broken = BrokenCall(
             self.call.fingerprint, ran_ms, now, ran_well, self.call.id
         )
--- a/pearrun/relay/relay.py
+++ b/pearrun/relay/relay.py
@@ -189,7 +189,7 @@
         if call.route.kind is not CallKind.STREAM:
             return True
         left_ms = call.timeout_at_ms - self.clock.now()
-        return admission.admits(
+        return admission.should_admit(
             selected.expected_ms,
             selected.queued_ms,
             left_ms,
@@ -209,7 +209,7 @@
     def _return_after(self, call, wait_ms):
         """Return when a caller who would wait for so long had best return."""
         left_ms = call.timeout_at_ms - self.clock.now()
-        return admission.return_after_ms(
+        return admission.compute_retry_after_ms(
             wait_ms, left_ms, call.route.latency_target_ms, self.admission
         )
 
--- a/pearrun/shared/crashes.py
+++ b/pearrun/shared/crashes.py
@@ -42,7 +42,7 @@
 
     :param ran_ms: milliseconds since it was sent there.
     :param at_ms: monotonic time of the break.
-    :param ran_well: see :func:`pearrun.decisions.evidence.runs_well`.
+    :param ran_well: see :func:`pearrun.decisions.evidence.is_call_stable`.
     :param call_id: the attempt; one may meet several endpoints.
     """
 
--- a/pearrun/shared/duties.py
+++ b/pearrun/shared/duties.py
@@ -111,10 +111,10 @@
         """Claim the lease once nobody else can hold it."""
         notice = self.reports.last_notice()
         if notice is not None:
-            self.view.note_told(notice.log_end, self.clock.boot())
+            self.view.note_announced_end(notice.log_end, self.clock.boot())
         now = self.clock.now()
         if now < self._watch_from_ms():
-            self.view.still_since_ms = None
+            self.view.unchanged_since_ms = None
             return
         if not self._is_read_due(now):
             return
@@ -141,7 +141,7 @@
         """Say whether the log is to be read: first, and before a claim."""
         if self.read_ms is not None and now - self.read_ms < WATCH_MS:
             return False
-        if self.view.still_since_ms is None:
+        if self.view.unchanged_since_ms is None:
             return True
         return self.view.may_claim(self.clock.boot())
 
@@ -223,10 +223,10 @@
         view = self.view
         if window <= view.agreed_until:
             return True
-        if view.lost_ms is None:
+        if view.history_lost_ms is None:
             return False
         lost_wall_ms = self.host.time.wall() - (
-            self.clock.boot() - view.lost_ms
+            self.clock.boot() - view.history_lost_ms
         )
         end_ms = (window + 1) * self.host.settings.usage.window_ms
         return end_ms <= lost_wall_ms
--- a/pearrun/shared/engines.py
+++ b/pearrun/shared/engines.py
@@ -1,8 +1,8 @@
 """The learnt models of the services' engines."""
 
 from pearrun.decisions import enginemodel
+from pearrun.decisions.enginemodel import EMPTY_SUMS
 from pearrun.decisions.enginemodel import EngineModelSettings
-from pearrun.decisions.enginemodel import NO_ANSWERS
 from pearrun.shared.runreports import RunReports
 
 
@@ -24,15 +24,15 @@
         model = self.of_service(service_name)
         if enginemodel.is_outlier(model, tokens, waited_ms, self.settings):
             return
-        known = self.own.get(service_name, NO_ANSWERS)
+        known = self.own.get(service_name, EMPTY_SUMS)
         seen = enginemodel.make_sums(tokens, waited_ms)
-        self.own[service_name] = known.times(self.settings.keep).plus(seen)
+        self.own[service_name] = known.scale(self.settings.decay).combine(seen)
 
     def of_service(self, service_name):
         """Return a service's :class:`EngineModel`.
 
         It is a guess until answers came.
         """
-        own = self.own.get(service_name, NO_ANSWERS)
-        others = self.others.sum().get(service_name, NO_ANSWERS)
-        return enginemodel.fit(own.plus(others), self.settings)
+        own = self.own.get(service_name, EMPTY_SUMS)
+        others = self.others.sum().get(service_name, EMPTY_SUMS)
+        return enginemodel.fit_model(own.combine(others), self.settings)
--- a/pearrun/shared/ownshare.py
+++ b/pearrun/shared/ownshare.py
@@ -120,13 +120,13 @@
 
 
 def subtract_lines(sums, own):
-    """Subtract own :class:`LineSums` by service."""
+    """Subtract own :class:`RegressionSums` by service."""
     left = dict(sums)
     for name, lines in own.items():
         known = left.get(name)
         if known is None:
             continue
-        others = known.plus(lines.times(-1.0))
+        others = known.combine(lines.scale(-1.0))
         if others.weight > 0:
             left[name] = others
         else:
--- a/pearrun/shared/quarantine.py
+++ b/pearrun/shared/quarantine.py
@@ -10,7 +10,7 @@
 
 from loguru import logger
 
-from pearrun.decisions.evidence import select_worst
+from pearrun.decisions.evidence import select_most_suspect
 from pearrun.decisions.quarantine import Suspects
 from pearrun.shared.crashes import READ_MARGIN_MS
 
@@ -93,7 +93,7 @@
 
     def take_back(self, endpoint_id):
         """Take back an endpoint's crash: it is still there, or has left."""
-        self.known.rule_out(endpoint_id, self.clock.now())
+        self.known.retract_crash(endpoint_id, self.clock.now())
         self._judge('endpoint not crashed')
 
     def merge(self, suspects, source, pass_on):
@@ -130,14 +130,14 @@
         suspects = self.known.suspects
         told = [suspects[key] for key in self._news if key in suspects]
         self._news.clear()
-        return select_worst(told, MAX_TOLD)
+        return select_most_suspect(told, MAX_TOLD)
 
     def list_known(self):
         """Return what another host should know that was told nothing yet.
 
         :returns: :class:`Suspect` objects.
         """
-        return select_worst(self.known.suspects.values(), MAX_TOLD)
+        return select_most_suspect(self.known.suspects.values(), MAX_TOLD)
 
     def list_unsaved(self):
         """Return the suspects that this host has to save on the store."""
--- a/pearrun/shared/quotas.py
+++ b/pearrun/shared/quotas.py
@@ -69,7 +69,7 @@
             return 0
         now = self.clock.now()
         bucket = self._refilled(customer, now, self._start_share(now))
-        missing = bucket.missing(customer.burst, self._lag_s())
+        missing = bucket.compute_shortfall(customer.burst, self._lag_s())
         return max(0.0, missing) * 1000.0 / customer.rate_per_s
 
     def level(self, call):
@@ -95,7 +95,7 @@
             customer = self.config.current.customers.get(name)
             if customer is not None and customer.rate_per_s > 0:
                 bucket = self._refilled(customer, now, share)
-                bucket.take_report(run, use.total, use.rate, now, heard)
+                bucket.apply_report(run, use.total, use.rate, now, heard)
 
     def remove(self, run):
         """Forget a run that has ended."""
@@ -157,10 +157,10 @@
         while it hears them through other hubs.
         """
         age_ms = now - self.started_ms
-        if self._settled or age_ms > quota.START_MS:
+        if self._settled or age_ms > quota.STARTUP_MS:
             return 1.0
         members = self.members
-        share = quota.start_share(
+        share = quota.compute_startup_share(
             members.count_heard(), members.count() - 1, members.listed, age_ms
         )
         self._settled = members.listed and share >= 1.0
@@ -175,7 +175,7 @@
         if bucket is None:
             bucket = quota.SharedBucket(customer.burst * share, now)
             self.buckets[customer.name] = bucket
-        rate = quota.refill_rate(
+        rate = quota.compute_refill_rate(
             customer.rate_per_s,
             customer.burst,
             self.settings,
--- a/pearrun/shared/reports.py
+++ b/pearrun/shared/reports.py
@@ -11,7 +11,7 @@
 
 from pearrun import exceptions
 from pearrun.decisions.demand import Demand
-from pearrun.decisions.enginemodel import LineSums
+from pearrun.decisions.enginemodel import RegressionSums
 from pearrun.decisions.evidence import Suspect
 from pearrun.ids import EndpointId
 from pearrun.ids import HostName
@@ -60,7 +60,7 @@
         the newest.
     :param loads: :class:`Load` by endpoint id.
     :param demands: :class:`Demand` by service.
-    :param engines: :class:`LineSums` by service.
+    :param engines: :class:`RegressionSums` by service.
     :param admitted: :class:`Admitted` by customer.
     :param placed: prompts sent lately.
     """
@@ -78,7 +78,7 @@
     demands: dict[ServiceName, Demand] = dataclasses.field(
         default_factory=dict
     )
-    engines: dict[ServiceName, LineSums] = dataclasses.field(
+    engines: dict[ServiceName, RegressionSums] = dataclasses.field(
         default_factory=dict
     )
 
@@ -283,7 +283,7 @@
 
 
 def encode_sums(sums):
-    """Return the fields of :class:`LineSums`, rounded."""
+    """Return the fields of :class:`RegressionSums`, rounded."""
     return [
         round(sums.weight, 2),
         round(sums.x),
@@ -366,5 +366,7 @@
         ),
         duty=DutyNotice(*duty) if duty else None,
         demands={name: Demand(*item) for name, item in demands.items()},
-        engines={name: LineSums(*item) for name, item in engines.items()},
+        engines={
+            name: RegressionSums(*item) for name, item in engines.items()
+        },
     )
--- a/pearrun/shared/scaler.py
+++ b/pearrun/shared/scaler.py
@@ -109,7 +109,7 @@
             known = zones.get(record.zone, scaling.ZoneCount())
             zones[record.zone] = scaling.ZoneCount(
                 known.reclaimable + record.reclaimable,
-                known.lasting + (not record.reclaimable),
+                known.on_demand + (not record.reclaimable),
             )
         return zones
 
@@ -147,7 +147,7 @@
 
     def _need(self, service_name, now):
         """Return the :class:`Need` by the demand of the last time."""
-        return scaling.hold_need(
+        return scaling.compute_need(
             self.needs[service_name],
             now,
             self.settings,
@@ -183,7 +183,7 @@
         scaled = sum(
             service.scale is not None for service in config.services.values()
         )
-        return scaling.expect_needed(units / scaled, self.settings)
+        return scaling.estimate_initial_count(units / scaled, self.settings)
 
     async def _send(self, order, term, now):
         key = (order.service, order.zone, order.reclaimable)
--- a/pearrun/shared/selection.py
+++ b/pearrun/shared/selection.py
@@ -79,19 +79,19 @@
         affinity = shared[-1].id if shared else None
         answer_ms = self.demands.answer_ms(service.name)
         shared_tokens = sum(part.tokens for part in shared)
-        demand = placement.Demand(
+        demand = placement.CallDemand(
             call.prompt.tokens, affinity, shared_tokens, answer_ms
         )
         model = self.engines.of_service(service.name)
-        unseen = self._expect_unseen(service.name, answer_ms, model)
+        unreported = self._expect_unseen(service.name, answer_ms, model)
         best, expected_ms = placement.choose(
-            candidates, demand, model, self.settings, unseen
+            candidates, demand, model, self.settings, unreported
         )
         if best is None:
             return None
         endpoint = self.fleet.endpoints[best.id]
-        endpoint.pause.note_try(now)
-        self._zone(endpoint).pause.note_try(now)
+        endpoint.pause.start_probe(now)
+        self._zone(endpoint).pause.start_probe(now)
         fresh = max(0, call.prompt.tokens - best.cached_tokens)
         queued_ms = expected_ms - fresh / model.tokens_per_ms
         return Selected(
@@ -126,8 +126,8 @@
         """Return what other hosts have placed since they reported."""
         others = self.demands.others.sum().get(service_name)
         if others is None or not self.feed.through_hubs:
-            return placement.NOTHING_UNSEEN
-        return placement.expect_unseen(
+            return placement.NO_UNREPORTED_LOAD
+        return placement.estimate_unreported_load(
             others, HUB_REPORT_AGE_MS, answer_ms, model, self.settings
         )
 
@@ -173,7 +173,7 @@
         endpoint.failures += 1
         if silent:
             self._zone(endpoint).note_silence(endpoint.id, now)
-        if not avoidance.should_avoid(endpoint.failures, refused or silent):
+        if not avoidance.should_pause(endpoint.failures, refused or silent):
             return 0
         endpoint.pause.begin(now)
         return endpoint.pause.length_ms
--- a/pearrun/shared/suspects.py
+++ b/pearrun/shared/suspects.py
@@ -11,7 +11,7 @@
             crash.endpoint_id,
             crash.at_ms,
             crash.ran_ms,
-            crash.ran_well,
+            crash.call_was_stable,
             crash.call_id,
             crash.zone,
             crash.proven,
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -13,7 +13,7 @@
 from pearrun.decisions import scaling
 from pearrun.decisions.budget import RetryBudget
 from pearrun.decisions.enginemodel import EngineModel
-from pearrun.decisions.prefixes import KEPT_MS
+from pearrun.decisions.prefixes import ENTRY_TTL_MS
 from pearrun.decisions.prefixes import MAX_ENTRIES
 from pearrun.decisions.prefixes import PrefixIndex
 from pearrun.platform.settings import RetrySettings
@@ -33,7 +33,7 @@
 
 def test_a_prompt_goes_where_its_beginning_is_cached():
     candidates = [make_candidate('x'), make_candidate('y', cached=5000)]
-    demand = placement.Demand(6000, 'subject')
+    demand = placement.CallDemand(6000, 'subject')
     best, _ = placement.choose(candidates, demand, MODEL, PLACEMENT)
     assert best.id == 'y'
 
@@ -43,14 +43,14 @@
         make_candidate('x'),
         make_candidate('y', reading=50_000, cached=5000),
     ]
-    demand = placement.Demand(6000, 'subject')
+    demand = placement.CallDemand(6000, 'subject')
     best, _ = placement.choose(candidates, demand, MODEL, PLACEMENT)
     assert best.id == 'x'
 
 
 def test_hosts_agree_on_the_favourite_of_a_new_beginning():
     candidates = [make_candidate(name) for name in 'pqrstu']
-    demand = placement.Demand(6000, 'subject-7')
+    demand = placement.CallDemand(6000, 'subject-7')
     chosen = set()
     for _ in range(5):
         random.shuffle(candidates)
@@ -61,11 +61,11 @@
 
 def test_subjects_spread_over_endpoints():
     candidates = [make_candidate(name) for name in 'pqrstu']
-    favourites = {
-        placement.find_favourite(candidates, f's{number}')
+    preferred = {
+        placement.find_preferred(candidates, f's{number}')
         for number in range(100)
     }
-    assert len(favourites) == 6
+    assert len(preferred) == 6
 
 
 def test_a_burst_spreads_over_all_endpoints():
@@ -78,7 +78,7 @@
         candidates = [
             make_candidate(name, calls[name], reading[name]) for name in calls
         ]
-        demand = placement.Demand(tokens, f's{rng.randrange(40)}')
+        demand = placement.CallDemand(tokens, f's{rng.randrange(40)}')
         best, _ = placement.choose(candidates, demand, MODEL, PLACEMENT)
         calls[best.id] += 1
         reading[best.id] += tokens
@@ -88,21 +88,21 @@
 
 def test_before_any_load_endpoints_are_kept_for_what_customers_may_use():
     """At 4.8 million units a second, 4 endpoints met the first wave."""
-    assert scaling.expect_needed(4_800_000, SCALING) == 48
-    assert scaling.expect_needed(0, SCALING) == SCALING.fewest
+    assert scaling.estimate_initial_count(4_800_000, SCALING) == 48
+    assert scaling.estimate_initial_count(0, SCALING) == SCALING.min_endpoints
 
 
 def test_hosts_that_hear_late_have_more_cheap_endpoints():
     """Each endpoint gets more of some moments' calls than of others'."""
     past = {0: 50, 25_000: 40}
-    near = scaling.hold_need(past, 26_000, SCALING)
-    late = scaling.hold_need(past, 26_000, SCALING, through_hubs=True)
+    near = scaling.compute_need(past, 26_000, SCALING)
+    late = scaling.compute_need(past, 26_000, SCALING, through_hubs=True)
     assert near == scaling.Need(lasting=40, reclaimable=50)
     assert late == scaling.Need(lasting=40, reclaimable=60)
 
 
 def test_without_endpoints_nothing_is_chosen():
-    assert placement.choose([], placement.Demand(), MODEL, PLACEMENT) == (
+    assert placement.choose([], placement.CallDemand(), MODEL, PLACEMENT) == (
         None,
         0.0,
     )
@@ -110,15 +110,15 @@
 
 def test_what_cannot_be_served_in_time_is_refused():
     settings = admission.AdmissionSettings()
-    assert admission.admits(500, 500, 3000, 0, settings)
-    assert not admission.admits(2500, 0, 3000, 0, settings)
-    assert admission.admits(500, 400, 3000, 600, settings)
-    assert not admission.admits(700, 600, 3000, 600, settings)
+    assert admission.should_admit(500, 500, 3000, 0, settings)
+    assert not admission.should_admit(2500, 0, 3000, 0, settings)
+    assert admission.should_admit(500, 400, 3000, 600, settings)
+    assert not admission.should_admit(700, 600, 3000, 600, settings)
 
 
 def test_a_large_prompt_is_not_refused_for_its_own_size():
     settings = admission.AdmissionSettings()
-    assert admission.admits(1500, 100, 12_000, 800, settings)
+    assert admission.should_admit(1500, 100, 12_000, 800, settings)
 
 
 @given(st.floats(0, 20_000), st.integers(1, 15_000), st.integers(0, 5000))
@@ -126,15 +126,16 @@
     wait, left, target
 ):
     settings = admission.AdmissionSettings()
-    after = admission.return_after_ms(wait, left, target, settings)
-    assert settings.least_return_ms <= after
-    assert after <= max(settings.least_return_ms, left / 3)
+    after = admission.compute_retry_after_ms(wait, left, target, settings)
+    assert settings.min_retry_after_ms <= after
+    assert after <= max(settings.min_retry_after_ms, left / 3)
 
 
 def test_callers_refused_together_do_not_return_together():
     settings = admission.AdmissionSettings()
     times = {
-        admission.return_after_ms(3000, 9000, 0, settings) for _ in range(50)
+        admission.compute_retry_after_ms(3000, 9000, 0, settings)
+        for _ in range(50)
     }
     assert max(times) - min(times) > 500
 
@@ -143,7 +144,7 @@
     """A customer over its quota: its calls would wait for seconds."""
     settings = admission.AdmissionSettings()
     times = {
-        admission.return_after_ms(6000, 12_000, 800, settings)
+        admission.compute_retry_after_ms(6000, 12_000, 800, settings)
         for _ in range(50)
     }
     assert max(times) <= 400
@@ -178,14 +179,14 @@
 
 def test_pauses_double_up_to_a_limit():
     pause = 0
-    pauses = [pause := avoidance.next_pause_ms(pause) for _ in range(6)]
+    pauses = [pause := avoidance.compute_pause_ms(pause) for _ in range(6)]
     assert pauses == [300, 600, 1200, 2400, 4000, 4000]
 
 
 def test_a_refused_connection_is_avoided_at_once_failures_later():
-    assert avoidance.should_avoid(1, refused=True)
-    assert not avoidance.should_avoid(1, refused=False)
-    assert avoidance.should_avoid(avoidance.FAILURES_IN_A_ROW, refused=False)
+    assert avoidance.should_pause(1, refused=True)
+    assert not avoidance.should_pause(1, refused=False)
+    assert avoidance.should_pause(avoidance.FAILURE_THRESHOLD, refused=False)
 
 
 def test_a_zone_is_left_alone_after_two_of_its_endpoints_fall_silent():
@@ -202,11 +203,11 @@
 def test_one_call_tries_after_a_pause_and_others_wait():
     pause = avoidance.Pause()
     pause.begin(0)
-    assert not pause.holds(avoidance.FIRST_PAUSE_MS)
-    pause.note_try(avoidance.FIRST_PAUSE_MS)
-    assert pause.holds(avoidance.FIRST_PAUSE_MS + 1)
+    assert not pause.holds(avoidance.INITIAL_PAUSE_MS)
+    pause.start_probe(avoidance.INITIAL_PAUSE_MS)
+    assert pause.holds(avoidance.INITIAL_PAUSE_MS + 1)
     pause.clear()
-    pause.note_try(0)
+    pause.start_probe(0)
     assert not pause.holds(0)
 
 
@@ -238,7 +239,7 @@
     assert index.find_cached(parts, 0) == {'x': 150}
     index.note('y', parts[:1], 1)
     assert index.find_cached(parts, 1) == {'x': 150, 'y': 100}
-    assert index.find_cached(parts, KEPT_MS + 1) == {'y': 100}
+    assert index.find_cached(parts, ENTRY_TTL_MS + 1) == {'y': 100}
 
 
 def test_prefixes_forget_the_parts_used_least_recently():
@@ -291,7 +292,7 @@
     at_once = {
         zone: scaling.ZoneCount(
             min(count.reclaimable, planned[zone, True]),
-            min(count.lasting, planned[zone, False]),
+            min(count.on_demand, planned[zone, False]),
         )
         for zone, count in zones.items()
     }
--- a/tests/test_demand.py
+++ b/tests/test_demand.py
@@ -38,7 +38,7 @@
 def test_the_reading_speed_is_learnt(tokens_per_ms):
     model = learn(tokens_per_ms, 45).of_service('s')
     assert model.tokens_per_ms == pytest.approx(tokens_per_ms, rel=0.2)
-    assert model.expect_ms(0) == pytest.approx(45, abs=25)
+    assert model.predict_ms(0) == pytest.approx(45, abs=25)
 
 
 def test_late_answers_of_faulty_endpoints_teach_nothing():
@@ -67,10 +67,10 @@
     for tokens, waited_ms in answers:
         engines.note_first('s', tokens, waited_ms)
     model = engines.of_service('s')
-    guess = engines.settings.tokens_per_ms
-    most = engines.settings.most_times
-    assert guess / most <= model.tokens_per_ms * 1.001
-    assert model.tokens_per_ms <= guess * most * 1.001
+    prior = engines.settings.tokens_per_ms
+    factor = engines.settings.max_prior_factor
+    assert prior / factor <= model.tokens_per_ms * 1.001
+    assert model.tokens_per_ms <= prior * factor * 1.001
     assert model.base_ms >= 0
 
 
@@ -108,7 +108,7 @@
 def test_a_demand_that_ended_is_forgotten():
     meter = DemandMeter()
     meter.note_call(500, 800, 0)
-    assert meter.measure(demand.SPAN_MS + demand.STEP_MS + 1) == Demand()
+    assert meter.measure(demand.WINDOW_MS + demand.INTERVAL_MS + 1) == Demand()
 
 
 def test_a_rare_route_does_not_set_the_target():
@@ -186,7 +186,7 @@
 
 def test_without_demand_the_fewest_are_kept():
     needed = scaling.count_needed(demand.NO_DEMAND, 55.0, 32, SCALING)
-    assert needed == SCALING.fewest
+    assert needed == SCALING.min_endpoints
 
 
 def simulate_waits(endpoints, asked, tokens_per_ms, seed=3):
--- a/tests/test_job_crashes.py
+++ b/tests/test_job_crashes.py
@@ -84,7 +84,7 @@
         yield None, 'length'
 
     monkeypatch.setattr(backends, 'stream_tokens', crash_later)
-    monkeypatch.setattr(evidence, 'ANSWERED_WELL_MS', 0)
+    monkeypatch.setattr(evidence, 'STABLE_ANSWER_MS', 0)
 
     async def main():
         runner = make_runner()
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -98,7 +98,9 @@
     def hear_end(self, name, index):
         """Hear what a holder said, late and in any order."""
         if index < len(self.said):
-            self.views[name].note_told(self.said[-1 - index], self.now)
+            self.views[name].note_announced_end(
+                self.said[-1 - index], self.now
+            )
 
     @rule(index=st.integers(0, 5))
     def late_append_happens(self, index):
@@ -163,33 +165,33 @@
 def test_a_log_that_moved_must_stand_still_again():
     view = LeaseView('a/1')
     view.note_end(4, 0)
-    assert not view.may_claim(lease.QUIET_MS - 1)
+    assert not view.may_claim(lease.TAKEOVER_DELAY_MS - 1)
     view.apply(4, LeaseRecord(RecordKind.RENEW, 'b/1'))
-    view.note_end(5, lease.QUIET_MS)
-    assert not view.may_claim(lease.QUIET_MS + 100)
-    assert view.may_claim(2 * lease.QUIET_MS)
+    view.note_end(5, lease.TAKEOVER_DELAY_MS)
+    assert not view.may_claim(lease.TAKEOVER_DELAY_MS + 100)
+    assert view.may_claim(2 * lease.TAKEOVER_DELAY_MS)
 
 
 def test_a_log_has_stood_still_since_its_holder_told_its_end():
     view = LeaseView('a/1')
-    view.note_told(5, 1000)
-    view.note_told(5, 2000)
+    view.note_announced_end(5, 1000)
+    view.note_announced_end(5, 2000)
     view.note_end(5, 4000)
-    assert not view.may_claim(1000 + lease.QUIET_MS - 1)
-    assert view.may_claim(1000 + lease.QUIET_MS)
+    assert not view.may_claim(1000 + lease.TAKEOVER_DELAY_MS - 1)
+    assert view.may_claim(1000 + lease.TAKEOVER_DELAY_MS)
 
 
 def test_a_log_that_moved_since_its_end_was_told_must_stand_still():
     view = LeaseView('a/1')
-    view.note_told(5, 1000)
+    view.note_announced_end(5, 1000)
     view.note_end(6, 4000)
-    assert not view.may_claim(1000 + lease.QUIET_MS)
-    assert view.may_claim(4000 + lease.QUIET_MS)
+    assert not view.may_claim(1000 + lease.TAKEOVER_DELAY_MS)
+    assert view.may_claim(4000 + lease.TAKEOVER_DELAY_MS)
 
 
 def test_a_host_that_slept_past_its_lease_stops_acting():
     view = LeaseView('a/1')
     view.note_end(0, 0)
     view.note_written(0, LeaseRecord(RecordKind.CLAIM, 'a/1'), 0)
-    assert view.holds(lease.HOLD_MS - 1)
-    assert not view.holds(lease.HOLD_MS)
+    assert view.holds(lease.LEASE_DURATION_MS - 1)
+    assert not view.holds(lease.LEASE_DURATION_MS)
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -10,7 +10,7 @@
 TARGET_MS = 800
 DEADLINE_MS = 12_000
 # Callers give up a stream that has not begun after four times its target.
-PATIENCE_MS = 4 * TARGET_MS
+ABANDON_MS = 4 * TARGET_MS
 # About a tenth of the prompts drawn below are larger.
 LARGE_TOKENS = 8500
 
@@ -22,7 +22,7 @@
     asked: int = 0
     in_time: int = 0
     late: int = 0
-    left: int = 0
+    abandoned: int = 0
     refused: int = 0
     large: int = 0
     large_refused: int = 0
@@ -49,7 +49,7 @@
         played.asked += 1
         is_large = tokens >= LARGE_TOKENS
         played.large += is_large
-        if not admission.admits(
+        if not admission.should_admit(
             expected_ms, queued_ms, DEADLINE_MS, TARGET_MS, settings
         ):
             played.refused += 1
@@ -57,8 +57,8 @@
             continue
         free_at[index] = first_at
         wait_ms = first_at - now
-        if wait_ms > PATIENCE_MS:
-            played.left += 1
+        if wait_ms > ABANDON_MS:
+            played.abandoned += 1
         elif wait_ms > TARGET_MS:
             played.late += 1
         else:
@@ -70,9 +70,9 @@
 def test_engines_that_are_too_few_still_serve_in_time(times):
     """Admitted by the callers' deadlines alone, next to none were."""
     played = play(times, admission.AdmissionSettings())
-    could_ms = 1 / times
-    assert played.in_time >= 0.6 * could_ms * played.asked
-    assert played.left == 0
+    capacity_share = 1 / times
+    assert played.in_time >= 0.6 * capacity_share * played.asked
+    assert played.abandoned == 0
     by_deadline = admission.AdmissionSettings(target_share=1e9)
     assert play(times, by_deadline).in_time < 0.3 * played.in_time
 
--- a/tests/test_ownshare.py
+++ b/tests/test_ownshare.py
@@ -4,7 +4,7 @@
 from hypothesis import strategies as st
 
 from pearrun.decisions.demand import Demand
-from pearrun.decisions.enginemodel import LineSums
+from pearrun.decisions.enginemodel import RegressionSums
 from pearrun.decisions.topology import LinkPlan
 from pearrun.shared import loads
 from pearrun.shared import reports
@@ -45,7 +45,7 @@
 def test_demand_and_answers_of_its_own_are_left_out():
     share = OwnShare()
     demand = Demand(2.0, 100.0, 5000.0, 600)
-    lines = LineSums(3.0, 30.0, 60.0, 900.0, 1800.0)
+    lines = RegressionSums(3.0, 30.0, 60.0, 900.0, 1800.0)
     share.keep(
         make_report(OWN, 1, demands={'s': demand}, engines={'s': lines})
     )
@@ -53,11 +53,11 @@
         HUB,
         1,
         demands={'s': Demand(5.0, 300.0, 9000.0, 600)},
-        engines={'s': lines.plus(LineSums(1.0, 2.0, 3.0, 4.0, 5.0))},
+        engines={'s': lines.combine(RegressionSums(1.0, 2.0, 3.0, 4.0, 5.0))},
     )
     left = share.leave_out(sums, 1)
     assert left.demands['s'] == Demand(3.0, 200.0, 4000.0, 600)
-    assert left.engines['s'] == LineSums(1.0, 2.0, 3.0, 4.0, 5.0)
+    assert left.engines['s'] == RegressionSums(1.0, 2.0, 3.0, 4.0, 5.0)
 
 
 @given(
--- a/tests/test_platform_adapter.py
+++ b/tests/test_platform_adapter.py
@@ -13,7 +13,7 @@
 
 from pearrun import exceptions
 from pearrun.decisions.demand import Demand
-from pearrun.decisions.enginemodel import LineSums
+from pearrun.decisions.enginemodel import RegressionSums
 from pearrun.http1.messages import Request
 from pearrun.ids import HostName
 from pearrun.logs import BoundedWriter
@@ -209,7 +209,7 @@
         placed=(Placed('e', ('p', 'q')),),
         duty=reports.DutyNotice(HostName('h'), 9, 12, 150),
         demands={'s': Demand(2.5, 900, 1_000_000, 800)},
-        engines={'s': LineSums(12.25, 4000, 700, 5_000_000, 90_000)},
+        engines={'s': RegressionSums(12.25, 4000, 700, 5_000_000, 90_000)},
     )
     messages = [
         report,
--- a/tests/test_platform_duties.py
+++ b/tests/test_platform_duties.py
@@ -48,7 +48,7 @@
     """
     clock = Clock()
     view = LeaseView('host-1/1')
-    sent_ms = clock.boot() + left_ms - lease.HOLD_MS
+    sent_ms = clock.boot() + left_ms - lease.LEASE_DURATION_MS
     view.note_written(0, LeaseRecord(RecordKind.CLAIM, view.run), sent_ms)
     return Term(view, clock)
 
@@ -117,7 +117,7 @@
             await wait_until(lambda: site.api.orders())
             await asyncio.sleep(0.5)
             orders = site.api.orders()
-            fewest = scaling.ScalingSettings().fewest
+            fewest = scaling.ScalingSettings().min_endpoints
             spot = [order for order in orders if order.get('spot')]
             lasting = [order for order in orders if not order.get('spot')]
             assert {order['zone'] for order in spot} == {'zone-a', 'zone-b'}
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -162,7 +162,7 @@
     crashes = [('good', f'e{number}', 50) for number in range(3)]
     suspects = make_suspects(*crashes)
     assert suspects.find_crash_ms('e1') == NOW_MS
-    suspects.rule_out('e1', NOW_MS + 1000)
+    suspects.retract_crash('e1', NOW_MS + 1000)
     suspects.judge(NOW_MS + 1000)
     assert not suspects.quarantined
     # What other hosts still tell of it is not taken up; a later crash is.
@@ -173,7 +173,7 @@
 def test_a_quarantine_ends_and_one_crash_begins_it_anew():
     crashes = [('bad', f'e{number}', 50) for number in range(3)]
     suspects = make_suspects(*crashes)
-    after_ms = NOW_MS + suspects.settings.hold_ms
+    after_ms = NOW_MS + suspects.settings.quarantine_ms
     suspects.judge(after_ms)
     assert not suspects.quarantined
     suspects.note_crash('bad', Crash('e9', after_ms, 50))
@@ -183,7 +183,7 @@
 
 def test_a_request_that_does_not_come_again_is_forgotten():
     suspects = make_suspects(('once', 'e0', 50))
-    suspects.judge(NOW_MS + suspects.settings.keep_ms + 1)
+    suspects.judge(NOW_MS + suspects.settings.retention_ms + 1)
     assert not suspects.suspects
 
 
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -107,7 +107,7 @@
 
     def _share(self, now):
         heard = 0 if now < self.linked_ms else len(self.totals) - 1
-        return quota.start_share(
+        return quota.compute_startup_share(
             heard, len(self.totals) - 1, True, now - self.started_ms
         )
 
@@ -127,7 +127,7 @@
             self.refused_small += units == SMALL
 
     def _refill(self, bucket, now):
-        rate = quota.refill_rate(
+        rate = quota.compute_refill_rate(
             RATE, BURST, SETTINGS, through_hubs=bool(self.delay_ms)
         )
         bucket.refill(rate * self._share(now), BURST, now)
@@ -156,7 +156,9 @@
                     self.heard.add((receiver, sender))
                     if total:
                         self._refill(bucket, now)
-                        bucket.take_report(sender, total, rate_now, now, heard)
+                        bucket.apply_report(
+                            sender, total, rate_now, now, heard
+                        )
 
     def _hears(self, receiver, sender, now):
         if now < self.linked_ms:
@@ -303,7 +305,7 @@
 
 def test_a_host_that_ended_is_not_taken_to_go_on():
     bucket = quota.SharedBucket(BURST, 0)
-    bucket.take_report('b', 0.0, RATE, 0)
+    bucket.apply_report('b', 0.0, RATE, 0)
     bucket.forget('b')
     bucket.refill(RATE, BURST, 5000)
     assert bucket.level == BURST
--- a/tests/test_quota_cost.py
+++ b/tests/test_quota_cost.py
@@ -55,7 +55,7 @@
 
 
 @pytest.mark.parametrize(
-    ('age_ms', 'most'), [(1000, 1), (quota.START_MS + 1, 0)]
+    ('age_ms', 'most'), [(1000, 1), (quota.STARTUP_MS + 1, 0)]
 )
 def test_a_report_has_the_hosts_counted_once_at_the_most(
     monkeypatch, age_ms, most
--- a/tests/test_stale_placement.py
+++ b/tests/test_stale_placement.py
@@ -53,18 +53,18 @@
     candidates = make_candidates([9000, 100, 8000])
     for _ in range(20):
         best, _ = placement.choose(
-            candidates, placement.Demand(800), MODEL, SETTINGS
+            candidates, placement.CallDemand(800), MODEL, SETTINGS
         )
         assert best.id == 'e1'
 
 
 def test_unheard_work_spreads_over_endpoints_that_have_room_for_it():
     candidates = make_candidates([0, 0, 2000, 500_000])
-    unseen = placement.Unseen(calls=6.0, work_ms=150.0)
+    unreported = placement.UnreportedLoad(calls=6.0, work_ms=150.0)
     counts = dict.fromkeys((c.id for c in candidates), 0)
     for _ in range(600):
         best, _ = placement.choose(
-            candidates, placement.Demand(800), MODEL, SETTINGS, unseen
+            candidates, placement.CallDemand(800), MODEL, SETTINGS, unreported
         )
         counts[best.id] += 1
     assert counts['e3'] == 0
@@ -73,25 +73,31 @@
 
 
 def test_a_long_beginning_stays_with_its_endpoint_while_it_has_room():
-    unseen = placement.Unseen(calls=6.0, work_ms=300.0)
-    demand = placement.Demand(8000, 'subject', 5000)
+    unreported = placement.UnreportedLoad(calls=6.0, work_ms=300.0)
+    demand = placement.CallDemand(8000, 'subject', 5000)
     candidates = make_candidates([0, 0, 0, 0])
     candidates[2].cached_tokens = 5000
     for reading, stays in ((0, True), (2000, True), (90_000, False)):
         candidates[2].reading_tokens = reading
-        best, _ = placement.choose(candidates, demand, MODEL, SETTINGS, unseen)
+        best, _ = placement.choose(
+            candidates, demand, MODEL, SETTINGS, unreported
+        )
         assert (best.id == 'e2') is stays
 
 
 def test_unheard_work_grows_with_demand_and_age():
     others = Demand(busy=100.0, tokens_per_s=110_000.0)
-    unseen = placement.expect_unseen(others, 400, 1000.0, MODEL, SETTINGS)
-    assert unseen.calls == 40.0
-    assert unseen.work_ms == pytest.approx(840.0)
+    unreported = placement.estimate_unreported_load(
+        others, 400, 1000.0, MODEL, SETTINGS
+    )
+    assert unreported.calls == 40.0
+    assert unreported.work_ms == pytest.approx(840.0)
 
 
 def test_calls_that_have_ended_again_are_not_unheard_of():
     """A plain service answers within 20 ms; reports are 400 ms old."""
     others = Demand(busy=3.0)
-    unseen = placement.expect_unseen(others, 400, 20.0, MODEL, SETTINGS)
-    assert unseen.calls == 3.0
+    unreported = placement.estimate_unreported_load(
+        others, 400, 20.0, MODEL, SETTINGS
+    )
+    assert unreported.calls == 3.0
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -56,7 +56,7 @@
         begun_ms = first.clock.now()
         await wait_until(lambda: find_holder(others) is not None, 15)
         took_ms = first.clock.since(begun_ms)
-        assert took_ms < lease.QUIET_MS + NEWS_MS
+        assert took_ms < lease.TAKEOVER_DELAY_MS + NEWS_MS
 
     play_with_hubs(scenario, monkeypatch)
 
--- a/tests/test_topology.py
+++ b/tests/test_topology.py
@@ -41,12 +41,13 @@
 
 
 def test_few_hosts_tell_all_others():
-    plans = plan_all(make_members(topology.MESH_HOSTS))
+    plans = plan_all(make_members(topology.MAX_MESH_HOSTS))
     assert all(plan.mesh and not plan.is_hub for plan in plans.values())
     readers = [name for name, plan in plans.items() if plan.is_reader]
     assert sorted(readers) == ['h0', 'h1', 'h2']
     assert all(
-        len(plan.targets) == topology.MESH_HOSTS - 1 for plan in plans.values()
+        len(plan.targets) == topology.MAX_MESH_HOSTS - 1
+        for plan in plans.values()
     )
 
 
@@ -60,7 +61,7 @@
     plans = plan_all(make_members(63))
     hubs = [name for name, plan in plans.items() if plan.is_hub]
     readers = [name for name, plan in plans.items() if plan.is_reader]
-    assert len(hubs) == len(ZONES) * topology.HUBS_EACH_ZONE
+    assert len(hubs) == len(ZONES) * topology.HUBS_PER_ZONE
     assert len(readers) == len(ZONES)
     assert set(readers) <= set(hubs)
     links = sum(len(plan.targets) for plan in plans.values())
@@ -84,7 +85,7 @@
 
 
 @given(
-    count=st.integers(topology.MESH_HOSTS + 2, 90),
+    count=st.integers(topology.MAX_MESH_HOSTS + 2, 90),
     down=st.sets(st.integers(0, 89), max_size=20),
 )
 def test_news_reaches_every_host_that_is_up_in_three_steps(count, down):
@@ -110,7 +111,7 @@
 
 def play_with_hubs(scenario, monkeypatch, runners=(), hosts=6):
     """Run a scenario on hosts in two zones that use hubs."""
-    monkeypatch.setattr(topology, 'MESH_HOSTS', 2)
+    monkeypatch.setattr(topology, 'MAX_MESH_HOSTS', 2)
 
     async def main():
         async with run_site(make_config(), runners, hosts=0) as site:
@@ -333,7 +334,7 @@
 
 def test_a_fleet_that_becomes_small_hears_every_host_itself(monkeypatch):
     async def scenario(site, daemons):
-        monkeypatch.setattr(topology, 'MESH_HOSTS', 100)
+        monkeypatch.setattr(topology, 'MAX_MESH_HOSTS', 100)
         for daemon in daemons:
             await wait_until(lambda daemon=daemon: daemon.reporter.plan.mesh)
         site.runners['m1'].event_ms = 600
--- a/tests/test_usage_saving.py
+++ b/tests/test_usage_saving.py
@@ -245,8 +245,8 @@
     view.note_expired(16)
     view.note_end(16, 6000)
     assert not view.may_claim(6000)
-    assert not view.may_claim(6000 + lease.QUIET_MS - 1)
-    assert view.may_claim(6000 + lease.QUIET_MS)
+    assert not view.may_claim(6000 + lease.TAKEOVER_DELAY_MS - 1)
+    assert view.may_claim(6000 + lease.TAKEOVER_DELAY_MS)
 
 
 def test_windows_that_may_have_been_reported_are_not_agreed_again():
