--- a/pearrun/decisions/scaling.py
+++ b/pearrun/decisions/scaling.py
@@ -34,9 +34,9 @@
         for which one endpoint is provided before any load was observed.
     :param spare: reclaimable endpoints ordered in each zone beyond the need,
         since a boot takes seconds and a burst arrives at once.
-    :param hold_ms: time window over which the maximum need counts for
-        reclaimable endpoints, so that the trough of a wave does not release
-        endpoints that its next crest needs.
+    :param reclaimable_hold_ms: time window over which the maximum need counts
+        for reclaimable endpoints, so that the trough of a wave does not
+        release endpoints that its next crest needs.
     :param on_demand_hold_ms: the same for on-demand endpoints, which cost five
         times as much and boot in a few seconds.
     :param release_ms: how long a smaller number of on-demand endpoints must
@@ -53,7 +53,7 @@
     max_prefill_share: float = 0.6
     limit_units_per_endpoint: float = 100_000.0
     spare: int = 1
-    hold_ms: int = 30_000
+    reclaimable_hold_ms: int = 30_000
     on_demand_hold_ms: int = 10_000
     release_ms: int = 1_500
     imbalance_factor: float = 1.2
--- a/pearrun/shared/scaler.py
+++ b/pearrun/shared/scaler.py
@@ -129,7 +129,9 @@
             self.settings,
         )
         past[now] = max(past.get(now, 0), needed)
-        for old in [at for at in past if now - at > self.settings.hold_ms]:
+        for old in [
+            at for at in past if now - at > self.settings.reclaimable_hold_ms
+        ]:
             del past[old]
         need = self._need(service_name, now)
         if self.last_need.get(service_name) != need:
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -1,4 +1,4 @@
-"""Pure decisions: placement, admission, budgets, avoidance, scaling."""
+"""Placement, admission, retry budgets, circuit breaking and scaling."""
 
 import dataclasses
 import random
@@ -27,18 +27,18 @@
 
 
 def make_candidate(name, calls=0, reading=0, cached=0, same_zone=True):
-    """Return an endpoint with eight slots."""
+    """Return a candidate endpoint with eight slots."""
     return placement.Candidate(name, same_zone, 8, calls, reading, cached)
 
 
-def test_a_prompt_goes_where_its_beginning_is_cached():
+def test_prompt_goes_to_endpoint_with_cached_prefix():
     candidates = [make_candidate('x'), make_candidate('y', cached=5000)]
     demand = placement.CallDemand(6000, 'subject')
     best, _ = placement.choose(candidates, demand, MODEL, PLACEMENT)
     assert best.id == 'y'
 
 
-def test_a_cached_beginning_does_not_outweigh_a_long_queue():
+def test_cached_prefix_does_not_outweigh_long_queue():
     candidates = [
         make_candidate('x'),
         make_candidate('y', reading=50_000, cached=5000),
@@ -48,7 +48,7 @@
     assert best.id == 'x'
 
 
-def test_hosts_agree_on_the_favourite_of_a_new_beginning():
+def test_hosts_agree_on_preferred_endpoint_of_new_prefix():
     candidates = [make_candidate(name) for name in 'pqrstu']
     demand = placement.CallDemand(6000, 'subject-7')
     chosen = set()
@@ -59,7 +59,7 @@
     assert len(chosen) == 1
 
 
-def test_subjects_spread_over_endpoints():
+def test_subjects_are_distributed_over_endpoints():
     candidates = [make_candidate(name) for name in 'pqrstu']
     preferred = {
         placement.find_preferred(candidates, f's{number}')
@@ -68,8 +68,8 @@
     assert len(preferred) == 6
 
 
-def test_a_burst_spreads_over_all_endpoints():
-    """Sixty calls at once: no endpoint gets twice its part."""
+def test_burst_is_distributed_over_all_endpoints():
+    """No endpoint gets twice its share of sixty simultaneous calls."""
     calls = dict.fromkeys('pqrstu', 0)
     reading = dict.fromkeys('pqrstu', 0)
     rng = random.Random(3)
@@ -86,29 +86,33 @@
     assert max(calls.values()) < 20
 
 
-def test_before_any_load_endpoints_are_kept_for_what_customers_may_use():
-    """At 4.8 million units a second, 4 endpoints met the first wave."""
+def test_initial_count_follows_customer_limits():
+    """Guards against meeting the first wave with too few endpoints.
+
+    With limits of 4.8 million units per second, a new fleet had only 4
+    endpoints when the first wave arrived.
+    """
     assert scaling.estimate_initial_count(4_800_000, SCALING) == 48
     assert scaling.estimate_initial_count(0, SCALING) == SCALING.min_endpoints
 
 
-def test_hosts_that_hear_late_have_more_cheap_endpoints():
-    """Each endpoint gets more of some moments' calls than of others'."""
+def test_more_reclaimable_endpoints_with_late_reports():
+    """Late reports through hubs make the load of the endpoints uneven."""
     past = {0: 50, 25_000: 40}
-    near = scaling.compute_need(past, 26_000, SCALING)
-    late = scaling.compute_need(past, 26_000, SCALING, through_hubs=True)
-    assert near == scaling.Need(lasting=40, reclaimable=50)
-    assert late == scaling.Need(lasting=40, reclaimable=60)
+    mesh_need = scaling.compute_need(past, 26_000, SCALING)
+    hub_need = scaling.compute_need(past, 26_000, SCALING, through_hubs=True)
+    assert mesh_need == scaling.Need(lasting=40, reclaimable=50)
+    assert hub_need == scaling.Need(lasting=40, reclaimable=60)
 
 
-def test_without_endpoints_nothing_is_chosen():
+def test_nothing_is_chosen_without_candidates():
     assert placement.choose([], placement.CallDemand(), MODEL, PLACEMENT) == (
         None,
         0.0,
     )
 
 
-def test_what_cannot_be_served_in_time_is_refused():
+def test_call_that_cannot_be_served_in_time_is_rejected():
     settings = admission.AdmissionSettings()
     assert admission.should_admit(500, 500, 3000, 0, settings)
     assert not admission.should_admit(2500, 0, 3000, 0, settings)
@@ -116,22 +120,24 @@
     assert not admission.should_admit(700, 600, 3000, 600, settings)
 
 
-def test_a_large_prompt_is_not_refused_for_its_own_size():
+def test_large_prompt_is_not_rejected_for_its_own_size():
     settings = admission.AdmissionSettings()
     assert admission.should_admit(1500, 100, 12_000, 800, settings)
 
 
 @given(st.floats(0, 20_000), st.integers(1, 15_000), st.integers(0, 5000))
-def test_callers_are_told_to_return_within_a_third_of_their_time(
-    wait, left, target
+def test_retry_after_is_at_most_a_third_of_remaining_time(
+    wait_ms, remaining_ms, target_ms
 ):
     settings = admission.AdmissionSettings()
-    after = admission.compute_retry_after_ms(wait, left, target, settings)
+    after = admission.compute_retry_after_ms(
+        wait_ms, remaining_ms, target_ms, settings
+    )
     assert settings.min_retry_after_ms <= after
-    assert after <= max(settings.min_retry_after_ms, left / 3)
+    assert after <= max(settings.min_retry_after_ms, remaining_ms / 3)
 
 
-def test_callers_refused_together_do_not_return_together():
+def test_callers_rejected_together_do_not_retry_together():
     settings = admission.AdmissionSettings()
     times = {
         admission.compute_retry_after_ms(3000, 9000, 0, settings)
@@ -140,8 +146,8 @@
     assert max(times) - min(times) > 500
 
 
-def test_callers_return_while_their_target_may_be_met():
-    """A customer over its quota: its calls would wait for seconds."""
+def test_callers_retry_while_their_target_can_be_met():
+    """Calls of a customer over its quota would wait for seconds."""
     settings = admission.AdmissionSettings()
     times = {
         admission.compute_retry_after_ms(6000, 12_000, 800, settings)
@@ -155,21 +161,21 @@
     st.lists(st.tuples(st.integers(0, 8), st.booleans()), max_size=400),
     st.integers(1, 9),
 )
-def test_repeats_of_all_hosts_stay_inside_the_shared_budget(steps, hosts):
+def test_retries_of_all_hosts_stay_within_shared_budget(steps, hosts):
     settings = RetrySettings(ratio=0.2, slack=58, window_ms=10_000)
     budgets = [RetryBudget(settings) for _ in range(hosts)]
-    calls, repeats = 0, 0
-    for index, (host, repeat) in enumerate(steps):
+    calls, retries = 0, 0
+    for index, (host, is_retry) in enumerate(steps):
         budget = budgets[host % hosts]
         budget.count_call(index)
         calls += 1
-        if repeat:
-            repeats += budget.take(index, hosts)
-            repeats += budget.take(index, hosts)
-    assert repeats <= settings.ratio * calls + settings.slack
+        if is_retry:
+            retries += budget.take(index, hosts)
+            retries += budget.take(index, hosts)
+    assert retries <= settings.ratio * calls + settings.slack
 
 
-def test_old_calls_leave_the_budgets_window():
+def test_old_calls_leave_budget_window():
     budget = RetryBudget(RetrySettings(ratio=0.5, slack=0, window_ms=1000))
     for _ in range(10):
         budget.count_call(0)
@@ -177,19 +183,19 @@
     assert not budget.take(2000, 1)
 
 
-def test_pauses_double_up_to_a_limit():
+def test_pauses_double_up_to_maximum():
     pause = 0
     pauses = [pause := avoidance.compute_pause_ms(pause) for _ in range(6)]
     assert pauses == [300, 600, 1200, 2400, 4000, 4000]
 
 
-def test_a_refused_connection_is_avoided_at_once_failures_later():
+def test_refused_connection_pauses_endpoint_immediately():
     assert avoidance.should_pause(1, refused=True)
     assert not avoidance.should_pause(1, refused=False)
     assert avoidance.should_pause(avoidance.FAILURE_THRESHOLD, refused=False)
 
 
-def test_a_zone_is_left_alone_after_two_of_its_endpoints_fall_silent():
+def test_zone_is_paused_after_two_unresponsive_endpoints():
     health = avoidance.ZoneHealth()
     health.note_silence('x', 0)
     health.note_silence('x', 0)
@@ -200,7 +206,7 @@
     assert not health.pause.holds(1)
 
 
-def test_one_call_tries_after_a_pause_and_others_wait():
+def test_single_call_probes_after_pause():
     pause = avoidance.Pause()
     pause.begin(0)
     assert not pause.holds(avoidance.INITIAL_PAUSE_MS)
@@ -211,11 +217,11 @@
     assert not pause.holds(0)
 
 
-def test_a_cut_zone_costs_few_calls():
-    """Six endpoints of a zone go silent under ten calls a second."""
+def test_unreachable_zone_fails_few_calls():
+    """Six endpoints stop responding at ten calls per second."""
     health = avoidance.ZoneHealth()
     pauses = {name: avoidance.Pause() for name in 'pqrstu'}
-    tried = 0
+    attempts = 0
     for now in range(0, 6000, 100):
         usable = [
             name
@@ -223,14 +229,14 @@
             if not pause.holds(now) and not health.pause.holds(now)
         ]
         if usable:
-            tried += 1
+            attempts += 1
             name = usable[now // 100 % len(usable)]
             pauses[name].begin(now)
             health.note_silence(name, now)
-    assert tried <= 8
+    assert attempts <= 8
 
 
-def test_prefixes_count_only_unbroken_beginnings_and_age():
+def test_prefix_index_counts_leading_parts_and_expires_entries():
     index = PrefixIndex()
     parts = (PromptPart('a', 100), PromptPart('b', 50))
     index.note('x', parts[1:], 0)
@@ -242,7 +248,7 @@
     assert index.find_cached(parts, ENTRY_TTL_MS + 1) == {'y': 100}
 
 
-def test_prefixes_forget_the_parts_used_least_recently():
+def test_prefix_index_evicts_least_recently_used_parts():
     index = PrefixIndex()
     parts = [PromptPart(f'p{number}', 1) for number in range(MAX_ENTRIES)]
     index.note('x', parts, 0)
@@ -254,53 +260,54 @@
     assert index.find_cached(parts[1:2], 2) == {}
 
 
-def make_zones(reclaimable, lasting):
+def make_zones(reclaimable, on_demand):
     """Return zones a, b and c with the same counts."""
-    count = scaling.ZoneCount(reclaimable, lasting)
+    count = scaling.ZoneCount(reclaimable, on_demand)
     return dict.fromkeys('abc', count)
 
 
 def plan(zones, needed):
-    """Return planned counts by zone and kind."""
+    """Return the planned counts by zone and kind."""
     need = scaling.Need(needed, needed)
     orders = scaling.plan_orders('s', LIMITS, zones, need, SCALING)
     return {(order.zone, order.reclaimable): order.count for order in orders}
 
 
-def test_lasting_endpoints_stay_until_reclaimable_ones_serve():
+def test_on_demand_endpoints_stay_until_reclaimable_ones_serve():
     planned = plan(make_zones(0, 3), 6)
     assert sum(planned[zone, False] for zone in 'abc') == 6
     planned = plan(make_zones(4, 3), 6)
     assert sum(planned[zone, False] for zone in 'abc') == 0
 
 
-def test_after_a_reclaim_the_next_zone_is_covered_too():
+def test_loss_of_next_zone_is_covered_after_reclaim():
     zones = make_zones(4, 0)
     zones['b'] = scaling.ZoneCount(0, 0)
     planned = plan(zones, 6)
-    # Eight are left; the next reclaim would leave four of six.
+    # Eight are left; the next reclaim would leave four of the six needed.
     assert sum(planned[zone, False] for zone in 'abc') == 2
 
 
-def obey(zones, planned):
-    """Return what serves at once, and later, where orders are obeyed.
+def execute_orders(zones, planned):
+    """Return the endpoints that serve once the orders are executed.
 
-    No reclaimable endpoints are to be had beyond those that serve.
+    No reclaimable endpoints are available beyond those that serve.
 
-    :returns: two maps of :class:`ZoneCount` by zone.
+    :returns: two maps of :class:`ZoneCount` by zone: immediately after the
+        orders, and after the ordered endpoints have booted.
     """
-    at_once = {
+    immediate = {
         zone: scaling.ZoneCount(
             min(count.reclaimable, planned[zone, True]),
             min(count.on_demand, planned[zone, False]),
         )
         for zone, count in zones.items()
     }
-    later = {
+    eventual = {
         zone: scaling.ZoneCount(count.reclaimable, planned[zone, False])
-        for zone, count in at_once.items()
+        for zone, count in immediate.items()
     }
-    return at_once, later
+    return immediate, eventual
 
 
 @given(
@@ -311,36 +318,44 @@
 @example([0, 0, 4], [0, 0, 0], 4)
 @example([5, 0, 0], [0, 0, 0], 10)
 @example([0, 0, 0], [0, 0, 1], 1)
-def test_any_one_zone_may_be_reclaimed(counts, lasting, needed):
+def test_reclaim_of_any_single_zone_is_covered(counts, on_demand, needed):
     zones = {
-        zone: scaling.ZoneCount(count, min(more, LIMITS.largest - count))
-        for zone, count, more in zip('abc', counts, lasting, strict=True)
+        zone: scaling.ZoneCount(
+            count, min(on_demand_count, LIMITS.largest - count)
+        )
+        for zone, count, on_demand_count in zip(
+            'abc', counts, on_demand, strict=True
+        )
     }
     for _ in range(4 * LIMITS.largest):
         planned = plan(zones, needed)
-        at_once, later = obey(zones, planned)
-        # Nothing that is needed is given back for what has to boot first.
+        immediate, eventual = execute_orders(zones, planned)
+        # Needed endpoints are not released for replacements that still have to
+        # boot.
         serving = scaling.count_serving(zones)
-        assert scaling.count_serving(at_once) >= min(needed, serving)
+        assert scaling.count_serving(immediate) >= min(needed, serving)
         for zone in 'abc':
-            both = planned[zone, False] + planned[zone, True]
-            assert both <= LIMITS.largest
-        zones = later
+            total = planned[zone, False] + planned[zone, True]
+            assert total <= LIMITS.largest
+        zones = eventual
     reclaimable = [count.reclaimable for count in zones.values()]
-    # Two places of each zone are left for reclaimable endpoints.
-    left = scaling.count_serving(zones) - max(reclaimable)
-    covered = left >= min(needed, 12)
-    # Where the zones' places do not suffice, all that serve are needed now.
-    assert covered or scaling.count_serving(zones) <= needed
+    # Two places of each zone are reserved for reclaimable endpoints.
+    remaining = scaling.count_serving(zones) - max(reclaimable)
+    is_covered = remaining >= min(needed, 12)
+    # If the places of the zones do not suffice, all serving endpoints are
+    # needed.
+    assert is_covered or scaling.count_serving(zones) <= needed
     if needed <= 12:
-        assert covered
+        assert is_covered
 
 
-def test_endpoints_that_serve_stay_while_their_successors_boot():
-    """One of three zones was reclaimed; the other two serve all.
+def test_serving_endpoints_stay_while_replacements_boot():
+    """Guards against releasing endpoints before replacements serve.
 
-    Of their 50 endpoints 39 were given back for lasting ones, which boot for
-    4 s.  In these 1,014 calls were refused for overload, and none before:
+    One of three zones was reclaimed, and the other two served all calls. Of
+    their 50 reclaimable endpoints, 39 were released in favour of on-demand
+    ones, which take 4 s to boot. In these 4 s 1,014 calls were rejected
+    because of overload:
 
          8.24 endpoints ordered zone-a reclaimable=false count=33 before=29
          8.26 endpoints ordered zone-a reclaimable=true count=5
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -1,4 +1,4 @@
-"""The duties' lease under lost answers, freezes and several claimants."""
+"""The lease under lost responses, freezes and concurrent claims."""
 
 import dataclasses
 
@@ -15,17 +15,17 @@
 
 
 @dataclasses.dataclass
-class LateAppend:
-    """An append that the store carries out later, unanswered."""
+class DelayedAppend:
+    """An append that the store executes later, without a response."""
 
-    at: int
+    offset: int
     record: LeaseRecord
 
 
 class LeaseMachine(RuleBasedStateMachine):
-    """Hosts that read, claim, renew and act over one log.
+    """Hosts that read, claim, renew and act on one log.
 
-    Time only moves by rules; a frozen host is one that no rule picks.
+    Time advances only by rules; a frozen host is one that no rule picks.
     """
 
     names = ('a/1', 'b/1', 'c/1')
@@ -34,10 +34,10 @@
         super().__init__()
         self.now = 1000
         self.log = []
-        self.late = []
+        self.delayed = []
         self.views = {name: LeaseView(name) for name in self.names}
-        self.acts = []
-        self.said = []
+        self.actions = []
+        self.announcements = []
         self.reports = {}
 
     @rule(ms=st.sampled_from([50, 300, 1000, 2500, 4000]))
@@ -51,19 +51,23 @@
             view.apply(offset, self.log[offset])
         view.note_end(len(self.log), self.now)
 
-    @rule(name=st.sampled_from(names), lost=st.booleans(), late=st.booleans())
-    def claim(self, name, lost, late):
+    @rule(
+        name=st.sampled_from(names), lost=st.booleans(), delayed=st.booleans()
+    )
+    def claim(self, name, lost, delayed):
         view = self.views[name]
         if view.may_claim(self.now):
             record = LeaseRecord(RecordKind.CLAIM, name)
-            self._append(view, record, lost, late)
+            self._append(view, record, lost, delayed)
 
-    @rule(name=st.sampled_from(names), lost=st.booleans(), late=st.booleans())
-    def renew(self, name, lost, late):
+    @rule(
+        name=st.sampled_from(names), lost=st.booleans(), delayed=st.booleans()
+    )
+    def renew(self, name, lost, delayed):
         view = self.views[name]
         if view.holder == name and view.should_renew(self.now):
             record = LeaseRecord(RecordKind.RENEW, name)
-            self._append(view, record, lost, late)
+            self._append(view, record, lost, delayed)
 
     @rule(
         name=st.sampled_from(names),
@@ -83,42 +87,42 @@
         view = self.views[name]
         if not view.holds(self.now):
             return
-        self.acts.append((self.now, name, view.fencing))
+        self.actions.append((self.now, name, view.fencing))
         for window, counts in view.reported.items():
             sent = self.reports.setdefault(window, counts)
             assert sent == counts, 'one window reported in two versions'
 
     @rule(name=st.sampled_from(names))
-    def say_end(self, name):
+    def announce_end(self, name):
         view = self.views[name]
         if view.holds(self.now):
-            self.said.append(view.end)
+            self.announcements.append(view.end)
 
     @rule(name=st.sampled_from(names), index=st.integers(0, 5))
-    def hear_end(self, name, index):
-        """Hear what a holder said, late and in any order."""
-        if index < len(self.said):
+    def receive_announced_end(self, name, index):
+        """Receive an announcement of a holder, late and in any order."""
+        if index < len(self.announcements):
             self.views[name].note_announced_end(
-                self.said[-1 - index], self.now
+                self.announcements[-1 - index], self.now
             )
 
     @rule(index=st.integers(0, 5))
-    def late_append_happens(self, index):
-        if index < len(self.late):
-            late = self.late.pop(index)
-            if late.at == len(self.log):
-                self.log.append(late.record)
-
-    def _append(self, view, record, lost, late):
-        at = view.end
-        if late:
-            self.late.append(LateAppend(at, record))
+    def complete_delayed_append(self, index):
+        if index < len(self.delayed):
+            delayed = self.delayed.pop(index)
+            if delayed.offset == len(self.log):
+                self.log.append(delayed.record)
+
+    def _append(self, view, record, lost, delayed):
+        offset = view.end
+        if delayed:
+            self.delayed.append(DelayedAppend(offset, record))
             return
-        if at != len(self.log):
+        if offset != len(self.log):
             return
         self.log.append(record)
         if not lost:
-            view.note_written(at, record, self.now)
+            view.note_written(offset, record, self.now)
 
     @invariant()
     def at_most_one_host_holds(self):
@@ -128,10 +132,10 @@
         assert len(holders) <= 1
 
     @invariant()
-    def tokens_only_increase_and_belong_to_one_host(self):
+    def fencing_tokens_increase_and_belong_to_one_host(self):
         owners = {}
         highest = 0
-        for _, name, fencing in self.acts:
+        for _, name, fencing in self.actions:
             assert fencing >= highest
             highest = fencing
             assert owners.setdefault(fencing, name) == name
@@ -139,7 +143,7 @@
     @invariant()
     def holders_do_not_alternate_quickly(self):
         runs = []
-        for at_ms, name, _ in self.acts:
+        for at_ms, name, _ in self.actions:
             if not runs or runs[-1][0] != name:
                 runs.append((name, at_ms, at_ms))
             else:
@@ -155,14 +159,14 @@
 )
 
 
-def test_a_fresh_log_may_be_claimed_at_once():
+def test_empty_log_can_be_claimed_immediately():
     view = LeaseView('a/1')
     assert not view.may_claim(0)
     view.note_end(0, 0)
     assert view.may_claim(0)
 
 
-def test_a_log_that_moved_must_stand_still_again():
+def test_new_record_restarts_takeover_delay():
     view = LeaseView('a/1')
     view.note_end(4, 0)
     assert not view.may_claim(lease.TAKEOVER_DELAY_MS - 1)
@@ -172,7 +176,7 @@
     assert view.may_claim(2 * lease.TAKEOVER_DELAY_MS)
 
 
-def test_a_log_has_stood_still_since_its_holder_told_its_end():
+def test_takeover_delay_starts_at_first_announcement():
     view = LeaseView('a/1')
     view.note_announced_end(5, 1000)
     view.note_announced_end(5, 2000)
@@ -181,7 +185,7 @@
     assert view.may_claim(1000 + lease.TAKEOVER_DELAY_MS)
 
 
-def test_a_log_that_moved_since_its_end_was_told_must_stand_still():
+def test_record_after_announcement_restarts_takeover_delay():
     view = LeaseView('a/1')
     view.note_announced_end(5, 1000)
     view.note_end(6, 4000)
@@ -189,7 +193,7 @@
     assert view.may_claim(4000 + lease.TAKEOVER_DELAY_MS)
 
 
-def test_a_host_that_slept_past_its_lease_stops_acting():
+def test_suspended_host_loses_its_lease():
     view = LeaseView('a/1')
     view.note_end(0, 0)
     view.note_written(0, LeaseRecord(RecordKind.CLAIM, 'a/1'), 0)
--- a/tests/test_platform_duties.py
+++ b/tests/test_platform_duties.py
@@ -171,7 +171,7 @@
             # milliseconds since its last report make no rate.
             (use,) = bucket.peers.values()
             assert use.used > 0
-            assert 0 < use.rate <= use.used / quota.IDLE_S
+            assert 0 < use.rate <= use.used / quota.INITIAL_IDLE_S
             assert (await task).complete
 
     asyncio.run(main())
--- a/tests/test_stale_placement.py
+++ b/tests/test_stale_placement.py
@@ -1,4 +1,4 @@
-"""Choosing endpoints in fleets whose hosts hear of each other late."""
+"""Placement in fleets whose hosts receive reports late."""
 
 import pytest
 
@@ -14,42 +14,43 @@
 SECONDS = 12
 
 
-def play(name, hosts):
-    """Return late share, 95th percentile and cached share by kind of call."""
+def run_simulation(name, hosts):
+    """Return late share, 95th percentile and cached share by call kind."""
     return summarize(Play(LOADS[name], hosts).run(SECONDS))
 
 
 @pytest.mark.parametrize('hosts', [83, 195])
-def test_few_calls_are_late_at_any_number_of_hosts(hosts):
-    """484 calls a second on 60 endpoints of 12 slots each.
+def test_few_calls_are_late_with_any_number_of_hosts(hosts):
+    """Guards against hosts that all choose the same endpoints.
 
-    If all hosts choose what looked best some rounds ago, half of the long
-    prompts are late, and a third of the short ones.
+    There are 484 calls per second on 60 endpoints of 12 slots each. If all
+    hosts choose the best endpoint by outdated reports, half of the long
+    prompts and a third of the short ones are late.
     """
-    rows = play('reconcile', hosts)
+    rows = run_simulation('reconcile', hosts)
     late_long, _, cached = rows['long']
     assert late_long < 0.15
     assert rows['tag'][0] < 0.03
-    # Prompts stay with the endpoints that hold their beginnings.
+    # Prompts stay with the endpoints that have their prefixes cached.
     assert cached > 0.14
 
 
 @pytest.mark.parametrize('hosts', [9, 195])
 def test_slow_engines_with_many_slots_serve_in_time(hosts):
-    rows = play('fault-desk', hosts)
+    rows = run_simulation('fault-desk', hosts)
     assert rows['long'][0] < 0.05
     assert rows['query'][0] < 0.05
 
 
 def make_candidates(reading):
-    """Return endpoints with eight slots that have so many tokens to read."""
+    """Return endpoints with eight slots and the given queued tokens."""
     return [
         placement.Candidate(f'e{number}', True, 8, 0, tokens)
         for number, tokens in enumerate(reading)
     ]
 
 
-def test_without_unheard_work_the_least_loaded_is_chosen():
+def test_least_loaded_is_chosen_without_unreported_load():
     candidates = make_candidates([9000, 100, 8000])
     for _ in range(20):
         best, _ = placement.choose(
@@ -58,7 +59,7 @@
         assert best.id == 'e1'
 
 
-def test_unheard_work_spreads_over_endpoints_that_have_room_for_it():
+def test_calls_are_distributed_by_headroom_with_unreported_load():
     candidates = make_candidates([0, 0, 2000, 500_000])
     unreported = placement.UnreportedLoad(calls=6.0, work_ms=150.0)
     counts = dict.fromkeys((c.id for c in candidates), 0)
@@ -72,7 +73,7 @@
     assert abs(counts['e0'] - counts['e1']) < 90
 
 
-def test_a_long_beginning_stays_with_its_endpoint_while_it_has_room():
+def test_long_prefix_stays_with_endpoint_that_has_headroom():
     unreported = placement.UnreportedLoad(calls=6.0, work_ms=300.0)
     demand = placement.CallDemand(8000, 'subject', 5000)
     candidates = make_candidates([0, 0, 0, 0])
@@ -85,7 +86,7 @@
         assert (best.id == 'e2') is stays
 
 
-def test_unheard_work_grows_with_demand_and_age():
+def test_unreported_load_grows_with_demand_and_age():
     others = Demand(busy=100.0, tokens_per_s=110_000.0)
     unreported = placement.estimate_unreported_load(
         others, 400, 1000.0, MODEL, SETTINGS
@@ -94,8 +95,8 @@
     assert unreported.work_ms == pytest.approx(840.0)
 
 
-def test_calls_that_have_ended_again_are_not_unheard_of():
-    """A plain service answers within 20 ms; reports are 400 ms old."""
+def test_completed_calls_are_not_unreported():
+    """A plain service responds in 20 ms; reports are 400 ms old."""
     others = Demand(busy=3.0)
     unreported = placement.estimate_unreported_load(
         others, 400, 20.0, MODEL, SETTINGS
--- a/tests/test_topology.py
+++ b/tests/test_topology.py
@@ -1,4 +1,4 @@
-"""Whom hosts tell what they know, and what reaches whom through hubs."""
+"""Plans of the links between hosts, and propagation through hubs."""
 
 import asyncio
 
@@ -18,7 +18,7 @@
 
 
 def make_members(count, link_mbps=()):
-    """Return hosts spread over the zones, in the order of their starts."""
+    """Return hosts distributed over the zones, in order of start time."""
     return [
         Member(
             f'h{number}',
@@ -32,7 +32,7 @@
 
 
 def plan_all(members, down=frozenset()):
-    """Return every host's plan; hosts that are down have none."""
+    """Return the plan of every host that is not down."""
     return {
         member.name: topology.plan_links(member, members, down, False)
         for member in members
@@ -40,7 +40,7 @@
     }
 
 
-def test_few_hosts_tell_all_others():
+def test_small_fleet_is_full_mesh():
     plans = plan_all(make_members(topology.MAX_MESH_HOSTS))
     assert all(plan.mesh and not plan.is_hub for plan in plans.values())
     readers = [name for name, plan in plans.items() if plan.is_reader]
@@ -51,13 +51,13 @@
     )
 
 
-def test_another_host_of_a_zone_reads_while_its_reader_is_down():
+def test_another_host_reads_while_reader_is_down():
     plans = plan_all(make_members(9), down={'h0'})
     readers = [name for name, plan in plans.items() if plan.is_reader]
     assert sorted(readers) == ['h1', 'h2', 'h3']
 
 
-def test_many_hosts_have_hubs_and_one_reader_in_each_zone():
+def test_large_fleet_has_hubs_and_one_reader_per_zone():
     plans = plan_all(make_members(63))
     hubs = [name for name, plan in plans.items() if plan.is_hub]
     readers = [name for name, plan in plans.items() if plan.is_reader]
@@ -69,13 +69,13 @@
     assert links < 300
 
 
-def test_hosts_with_fast_links_are_hubs():
+def test_hosts_with_fast_links_become_hubs():
     members = make_members(30, link_mbps={27: 200.0, 28: 200.0, 29: 200.0})
     plans = plan_all(members)
     assert all(plans[name].is_reader for name in ('h27', 'h28', 'h29'))
 
 
-def test_a_host_that_is_told_as_a_hub_acts_as_one():
+def test_host_addressed_as_hub_acts_as_hub():
     members = make_members(30)
     plan = topology.plan_links(members[20], members, frozenset(), True)
     assert plan.is_hub
@@ -88,14 +88,14 @@
     count=st.integers(topology.MAX_MESH_HOSTS + 2, 90),
     down=st.sets(st.integers(0, 89), max_size=20),
 )
-def test_news_reaches_every_host_that_is_up_in_three_steps(count, down):
+def test_report_reaches_every_reachable_host_in_three_hops(count, down):
     members = make_members(count)
     names_down = frozenset(f'h{number}' for number in down)
     plans = plan_all(members, names_down)
     zone_of = {member.name: member.zone for member in members}
     for origin in plans:
         reached = {origin}
-        # To its hubs, to other zones' hubs, to their zones.
+        # To the hubs of its zone, to the hubs of other zones, to their hosts.
         for _ in range(3):
             reached |= {
                 target
@@ -131,11 +131,11 @@
 
 
 def find_hubs(daemons):
-    """Return the hosts that pass on what others tell them."""
+    """Return the hosts that act as hubs."""
     return [daemon for daemon in daemons if daemon.reporter.plan.is_hub]
 
 
-def test_loads_placements_and_units_reach_other_zones_through_hubs(
+def test_loads_and_placements_reach_other_zones_through_hubs(
     monkeypatch,
 ):
     async def scenario(site, daemons):
@@ -144,7 +144,7 @@
         caller = next(
             daemon for daemon in daemons if not daemon.reporter.plan.is_hub
         )
-        calling = asyncio.create_task(
+        pending_call = asyncio.create_task(
             call(
                 caller,
                 '/long/',
@@ -164,7 +164,7 @@
                     'm1', 'aa'
                 )
             )
-        await calling
+        await pending_call
         for daemon in daemons:
             await wait_until(
                 lambda daemon=daemon: not daemon.host.loads.get('m1').calls
@@ -173,7 +173,7 @@
     play_with_hubs(scenario, monkeypatch, [('m1', 'model')])
 
 
-def test_usage_of_all_hosts_reaches_the_holder_through_links_of_its_own(
+def test_usage_of_all_hosts_reaches_lease_holder(
     monkeypatch,
 ):
     async def scenario(site, daemons):
@@ -186,14 +186,17 @@
 
 
 def count_reported(site):
-    """Return all calls reported for anna, a window counted once."""
+    """Return the calls reported for anna, each window counted once."""
     return sum(
         counts.get('anna', 0) for counts in dict(site.api.usage()).values()
     )
 
 
 async def add_endpoints(site, daemons, count=20):
-    """Add endpoints one by one until all hosts know them; count reads anew."""
+    """Add endpoints one by one until all hosts list them.
+
+    The recorded calls of the store are reset first.
+    """
     site.store.calls.clear()
     for number in range(count):
         await site.add_runner(f'q{number}', 'plain')
@@ -213,20 +216,20 @@
     )
 
 
-def test_one_host_of_a_zone_reads_the_endpoints_for_the_others(monkeypatch):
+def test_one_host_per_zone_reads_endpoints(monkeypatch):
     async def scenario(site, daemons):
         await asyncio.sleep(0.5)
         await add_endpoints(site, daemons)
-        # Six hosts that read for themselves make some 40 of these.
+        # If all six hosts read the list themselves, they make about 40 reads.
         assert count_reads(site) <= 18
 
     play_with_hubs(scenario, monkeypatch)
 
 
-def test_one_host_of_a_zone_reads_the_list_of_hosts_for_the_others(
+def test_one_host_per_zone_reads_host_list(
     monkeypatch,
 ):
-    """Hosts that start or end one by one do not wake all others."""
+    """A host that starts or ends does not make all others read."""
 
     async def scenario(site, daemons):
         await asyncio.sleep(1.5)
@@ -246,14 +249,14 @@
             path == '/log-read' and query['topic'] == 'keyed.hosts'
             for path, query in site.store.calls
         )
-        # Eight hosts that read for themselves make 30 of these.
+        # If all eight hosts read the list themselves, they make 30 reads.
         assert reads <= 18
 
     play_with_hubs(scenario, monkeypatch, hosts=8)
 
 
-def test_few_hosts_of_a_zone_read_the_endpoints_once():
-    """Three hosts of a zone; two of them are told what the third reads."""
+def test_one_host_of_small_fleet_reads_endpoints():
+    """One host of a zone reads and forwards to the two others."""
 
     async def main():
         async with run_site(make_config(), [], hosts=3) as site:
@@ -263,17 +266,19 @@
             )
             await asyncio.sleep(1.0)
             await add_endpoints(site, hosts)
-            # Three hosts that read for themselves make some 20 of these.
+            # If all three hosts read the list themselves, they make about 20
+            # reads.
             assert count_reads(site) <= 12
             site.store.calls.clear()
             await asyncio.sleep(4)
-            # When nothing changes, a reader's empty reads are news too.
+            # Without changes, the empty reads of the reader are forwarded as
+            # well.
             assert count_reads(site) <= 7
 
     asyncio.run(main())
 
 
-def test_a_reader_that_loses_the_store_costs_its_zone_little_time():
+def test_reader_without_store_is_replaced_quickly():
     async def main():
         async with run_site(make_config(), PLAIN, hosts=3) as site:
             hosts = list(site.hosts.values())
@@ -288,7 +293,7 @@
             runner = site.runners['p1']
             runner.state = 'draining'
             site.list_runner(runner)
-            listed_ms = reader.clock.now()
+            drain_started_ms = reader.clock.now()
             for daemon in hosts:
                 if daemon is not reader:
                     await wait_until(
@@ -297,12 +302,12 @@
                         )
                     )
             drain_ms = reader.settings.drain_ms
-            assert reader.clock.since(listed_ms) < 0.95 * drain_ms
+            assert reader.clock.since(drain_started_ms) < 0.95 * drain_ms
 
     asyncio.run(main())
 
 
-def test_a_zone_whose_hubs_end_finds_others(monkeypatch):
+def test_zone_replaces_ended_hubs(monkeypatch):
     async def scenario(site, daemons):
         ended = [
             daemon
@@ -312,57 +317,57 @@
         for daemon in ended:
             await daemon.end()
             del site.hosts[daemon.settings.name]
-        (left,) = (
+        (remaining,) = (
             daemon
             for daemon in site.hosts.values()
             if daemon.settings.zone == 'zone-a'
         )
-        await wait_until(lambda: left.reporter.plan.is_reader)
+        await wait_until(lambda: remaining.reporter.plan.is_reader)
         await site.add_runner('late', 'plain')
-        await wait_until(lambda: 'late' in left.host.fleet.endpoints)
+        await wait_until(lambda: 'late' in remaining.host.fleet.endpoints)
         site.runners['late'].work_ms = 2500
-        calling = asyncio.create_task(call(left, '/once/', 'a'))
+        pending_call = asyncio.create_task(call(remaining, '/once/', 'a'))
         for daemon in site.hosts.values():
-            if daemon is not left:
+            if daemon is not remaining:
                 await wait_until(
                     lambda daemon=daemon: daemon.host.loads.get('late').calls
                 )
-        assert (await calling).status == 200
+        assert (await pending_call).status == 200
 
     play_with_hubs(scenario, monkeypatch)
 
 
-def test_a_fleet_that_becomes_small_hears_every_host_itself(monkeypatch):
+def test_shrunken_fleet_becomes_full_mesh(monkeypatch):
     async def scenario(site, daemons):
         monkeypatch.setattr(topology, 'MAX_MESH_HOSTS', 100)
         for daemon in daemons:
             await wait_until(lambda daemon=daemon: daemon.reporter.plan.mesh)
         site.runners['m1'].event_ms = 600
-        calling = asyncio.create_task(
+        pending_call = asyncio.create_task(
             call(daemons[0], '/long/', 'a', 'POST', **make_prompt())
         )
         for daemon in daemons[1:]:
             await wait_until(
                 lambda daemon=daemon: daemon.host.loads.get('m1').calls == 1
             )
-        await calling
+        await pending_call
 
     play_with_hubs(scenario, monkeypatch, [('m1', 'model')])
 
 
-def test_the_configuration_reaches_a_host_without_the_store_by_its_hub(
+def test_configuration_reaches_host_without_store_through_hub(
     monkeypatch,
 ):
     async def scenario(site, daemons):
-        cut_off = next(
+        isolated = next(
             daemon for daemon in daemons if not daemon.reporter.plan.is_hub
         )
-        cut_off.store.pool.address = '127.0.0.1:9'
-        cut_off.store.pool.close()
+        isolated.store.pool.address = '127.0.0.1:9'
+        isolated.store.pool.close()
         await asyncio.sleep(3.0)
         site.configure(make_config(7))
-        await wait_until(lambda: cut_off.host.config.version == 7, 6)
+        await wait_until(lambda: isolated.host.config.version == 7, 6)
         await site.add_runner('late', 'plain')
-        await wait_until(lambda: 'late' in cut_off.host.fleet.endpoints)
+        await wait_until(lambda: 'late' in isolated.host.fleet.endpoints)
 
     play_with_hubs(scenario, monkeypatch)
