--- a/benchmarks/bystanders.py
+++ b/benchmarks/bystanders.py
@@ -216,7 +216,7 @@
             answered_ms = self.answered_ms.get(run.fingerprint)
             if answered_ms is not None:
                 self.suspects.note_answered(run.fingerprint, answered_ms)
-        self.suspects.judge(self.now)
+        self.suspects.evaluate(self.now)
         self._after(self.load.restart_s * 1000, self._restart, name)
         for run in broken:
             if run.left and not run.fingerprint.startswith('bad'):
--- a/benchmarks/quarantine.py
+++ b/benchmarks/quarantine.py
@@ -96,7 +96,7 @@
     told = [suspects.to_fields(item) for item in fresh.list_known()]
     print(f'note of {MAX_TOLD} of them: {len(cbor2.dumps(told))} bytes')
     begun = time.process_time()
-    fresh.known.judge(clock.now())
+    fresh.known.evaluate(clock.now())
     spent = time.process_time() - begun
     print(f'judging {len(known)} suspects: {spent * 1000:.1f} ms')
     measure(
--- a/pearrun/decisions/quarantine.py
+++ b/pearrun/decisions/quarantine.py
@@ -121,7 +121,7 @@
             if not suspect.crashes and suspect.answered_ms is None:
                 del self.suspects[suspect.fingerprint]
 
-    def judge(self, now_ms):
+    def evaluate(self, now_ms):
         """Drop expired records and determine the quarantined requests."""
         self._forget_old(now_ms)
         self._crashed_ms = {
--- a/pearrun/shared/quarantine.py
+++ b/pearrun/shared/quarantine.py
@@ -180,7 +180,7 @@
     def _judge(self, source):
         """Find out what is quarantined now; log what has changed."""
         now = self.clock.now()
-        self.known.judge(now)
+        self.known.evaluate(now)
         quarantined = self.known.quarantined
         for fingerprint in set(self._begun) - set(quarantined):
             del self._begun[fingerprint]
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -34,7 +34,7 @@
     suspects = Suspects()
     for fingerprint, endpoint_id, ran_ms in crashes:
         suspects.note_crash(fingerprint, Crash(endpoint_id, NOW_MS, ran_ms))
-    suspects.judge(now_ms)
+    suspects.evaluate(now_ms)
     return suspects
 
 
@@ -62,7 +62,7 @@
     suspects.note_answered('hot', NOW_MS)
     for number in range(2, 9):
         suspects.note_crash('hot', Crash(f'e{number}', NOW_MS + 1000, 50))
-    suspects.judge(NOW_MS + 1000)
+    suspects.evaluate(NOW_MS + 1000)
     assert not suspects.quarantined
 
 
@@ -72,7 +72,7 @@
     later_ms = NOW_MS + suspects.settings.trust_ms + 1
     for number in range(3):
         suspects.note_crash('bad', Crash(f'n{number}', later_ms, 50))
-    suspects.judge(later_ms)
+    suspects.evaluate(later_ms)
     assert 'bad' in suspects.quarantined
 
 
@@ -81,10 +81,10 @@
     for number in range(5):
         at_ms = NOW_MS + number * 5000
         suspects.note_crash('long', Crash(f'e{number}', at_ms, 4000, True))
-    suspects.judge(at_ms)
+    suspects.evaluate(at_ms)
     assert not suspects.quarantined
     suspects.note_crash('long', Crash('e5', at_ms + 5000, 4000, True))
-    suspects.judge(at_ms + 5000)
+    suspects.evaluate(at_ms + 5000)
     assert 'long' in suspects.quarantined
 
 
@@ -93,7 +93,7 @@
     for number in range(50):
         at_ms = NOW_MS + number * 10
         suspects.note_crash('long', Crash(f'e{number}', at_ms, 9000, True))
-    suspects.judge(NOW_MS)
+    suspects.evaluate(NOW_MS)
     assert not suspects.quarantined
 
 
@@ -104,7 +104,7 @@
             f'e{number}', NOW_MS + number, 1, False, 'call-1', 'zone-c'
         )
         suspects.note_crash('good', crash)
-    suspects.judge(NOW_MS + 9)
+    suspects.evaluate(NOW_MS + 9)
     assert not suspects.quarantined
 
 
@@ -115,7 +115,7 @@
             f'e{number}', NOW_MS, 50, False, 'call-1', f'zone-{number}'
         )
         suspects.note_crash('bad', crash)
-    suspects.judge(NOW_MS)
+    suspects.evaluate(NOW_MS)
     assert 'bad' in suspects.quarantined
 
 
@@ -128,11 +128,11 @@
     suspects = Suspects()
     for number in range(3):
         suspects.note_crash('bad', make_unproven(number, f'call-{number}'))
-    suspects.judge(NOW_MS)
+    suspects.evaluate(NOW_MS)
     short_ms = suspects.settings.unproven_ms
     assert suspects.quarantined == {'bad': NOW_MS + short_ms}
     assert not suspects.is_proven('bad')
-    suspects.judge(NOW_MS + short_ms + 1)
+    suspects.evaluate(NOW_MS + short_ms + 1)
     assert not suspects.quarantined
     assert not suspects.suspects
 
@@ -141,7 +141,7 @@
     suspects = Suspects()
     for number in range(9):
         suspects.note_crash('good', make_unproven(number, 'call-1'))
-    suspects.judge(NOW_MS)
+    suspects.evaluate(NOW_MS)
     assert not suspects.quarantined
 
 
@@ -153,7 +153,7 @@
         proven = dataclasses.replace(crash, proven=True)
         assert suspects.note_crash('bad', proven)
         assert not suspects.note_crash('bad', crash)
-    suspects.judge(NOW_MS)
+    suspects.evaluate(NOW_MS)
     assert suspects.suspects['bad'].weigh() == 3
     assert suspects.is_proven('bad')
 
@@ -163,7 +163,7 @@
     suspects = make_suspects(*crashes)
     assert suspects.find_crash_ms('e1') == NOW_MS
     suspects.retract_crash('e1', NOW_MS + 1000)
-    suspects.judge(NOW_MS + 1000)
+    suspects.evaluate(NOW_MS + 1000)
     assert not suspects.quarantined
     # What other hosts still tell of it is not taken up; a later crash is.
     assert not suspects.note_crash('good', Crash('e1', NOW_MS, 50))
@@ -174,16 +174,16 @@
     crashes = [('bad', f'e{number}', 50) for number in range(3)]
     suspects = make_suspects(*crashes)
     after_ms = NOW_MS + suspects.settings.quarantine_ms
-    suspects.judge(after_ms)
+    suspects.evaluate(after_ms)
     assert not suspects.quarantined
     suspects.note_crash('bad', Crash('e9', after_ms, 50))
-    suspects.judge(after_ms)
+    suspects.evaluate(after_ms)
     assert 'bad' in suspects.quarantined
 
 
 def test_a_request_that_does_not_come_again_is_forgotten():
     suspects = make_suspects(('once', 'e0', 50))
-    suspects.judge(NOW_MS + suspects.settings.retention_ms + 1)
+    suspects.evaluate(NOW_MS + suspects.settings.retention_ms + 1)
     assert not suspects.suspects
 
 
@@ -195,7 +195,7 @@
     for number in range(100):
         crash = Crash('other', NOW_MS + number, 50)
         suspects.note_crash(f'once-{number}', crash)
-        suspects.judge(NOW_MS + number)
+        suspects.evaluate(NOW_MS + number)
     assert len(suspects.suspects) == 16
     assert len(suspects.suspects['bad'].crashes) == 4
     assert 'bad' in suspects.quarantined
@@ -223,7 +223,7 @@
         else:
             crash = Crash(f'e{endpoint}', NOW_MS + endpoint, 50)
             suspects.note_crash(fingerprint, crash)
-    suspects.judge(NOW_MS + 5000)
+    suspects.evaluate(NOW_MS + 5000)
     return suspects.quarantined
 
 
