--- a/pearrun/relay/exchange.py
+++ b/pearrun/relay/exchange.py
@@ -1,7 +1,7 @@
 """One attempt to send a call to one endpoint."""
 
 from pearrun import exceptions
-from pearrun.decisions.evidence import runs_well
+from pearrun.decisions.evidence import is_call_stable
 from pearrun.relay.events import EventSplitter
 from pearrun.relay.outcomes import Answered
 from pearrun.relay.outcomes import ErrorResponse
@@ -261,7 +261,7 @@
             if self.forwarding_since_ms is None
             else now - self.forwarding_since_ms
         )
-        ran_well = runs_well(ran_ms, answered_ms)
+        ran_well = is_call_stable(ran_ms, answered_ms)
         broken = BrokenCall(
             self.call.fingerprint, ran_ms, now, ran_well, self.call.id
         )
--- a/pearrun/shared/crashdetector.py
+++ b/pearrun/shared/crashdetector.py
@@ -44,7 +44,7 @@
 
     :param ran_ms: milliseconds between sending the call and the break.
     :param at_ms: monotonic time of the break.
-    :param ran_well: see :func:`pearrun.decisions.evidence.runs_well`.
+    :param ran_well: see :func:`pearrun.decisions.evidence.is_call_stable`.
     :param call_id: id of the call, shared by its attempts at several
         endpoints.
     """
--- a/pearrun/shared/engines.py
+++ b/pearrun/shared/engines.py
@@ -1,8 +1,8 @@
 """Performance models of the services' engines, fitted to their answers."""
 
 from pearrun.decisions import enginemodel
+from pearrun.decisions.enginemodel import EMPTY_SUMS
 from pearrun.decisions.enginemodel import EngineModelSettings
-from pearrun.decisions.enginemodel import NO_ANSWERS
 from pearrun.shared.runreports import RunReports
 
 
@@ -26,15 +26,17 @@
         model = self.find_by_service(service_name)
         if enginemodel.is_outlier(model, tokens, waited_ms, self.settings):
             return
-        past = self.own.get(service_name, NO_ANSWERS)
+        past = self.own.get(service_name, EMPTY_SUMS)
         sample = enginemodel.make_sums(tokens, waited_ms)
-        self.own[service_name] = past.times(self.settings.keep).plus(sample)
+        self.own[service_name] = past.scale(self.settings.decay).combine(
+            sample
+        )
 
     def find_by_service(self, service_name):
         """Return a service's :class:`EngineModel`.
 
         Without any answers it consists of default values.
         """
-        own = self.own.get(service_name, NO_ANSWERS)
-        others = self.others.sum().get(service_name, NO_ANSWERS)
-        return enginemodel.fit(own.plus(others), self.settings)
+        own = self.own.get(service_name, EMPTY_SUMS)
+        others = self.others.sum().get(service_name, EMPTY_SUMS)
+        return enginemodel.fit_model(own.combine(others), self.settings)
--- a/pearrun/shared/quarantine.py
+++ b/pearrun/shared/quarantine.py
@@ -10,7 +10,7 @@
 
 from loguru import logger
 
-from pearrun.decisions.evidence import select_worst
+from pearrun.decisions.evidence import select_most_suspect
 from pearrun.decisions.quarantine import Suspects
 from pearrun.shared.crashdetector import READ_MARGIN_MS
 
@@ -100,7 +100,7 @@
 
     def retract_crash(self, endpoint_id):
         """Discard the crash of an endpoint that is running or has left."""
-        self.known.rule_out(endpoint_id, self.clock.now())
+        self.known.retract_crash(endpoint_id, self.clock.now())
         self._update_quarantine('endpoint not crashed')
 
     def merge(self, suspects, source, forward):
@@ -139,14 +139,14 @@
         suspects = self.known.suspects
         changed = [suspects[key] for key in self._pending if key in suspects]
         self._pending.clear()
-        return select_worst(changed, MAX_SENT)
+        return select_most_suspect(changed, MAX_SENT)
 
     def take_snapshot(self):
         """Return the suspects to send to a newly connected host.
 
         :returns: :class:`Suspect` objects.
         """
-        return select_worst(self.known.suspects.values(), MAX_SENT)
+        return select_most_suspect(self.known.suspects.values(), MAX_SENT)
 
     def list_unsaved(self):
         """Return the suspects that this host has yet to save."""
@@ -198,7 +198,7 @@
         :param source: what led to the update, for the log.
         """
         now = self.clock.now()
-        self.known.judge(now)
+        self.known.evaluate(now)
         quarantined = self.known.quarantined
         for fingerprint in set(self._started) - set(quarantined):
             del self._started[fingerprint]
--- a/pearrun/shared/quotas.py
+++ b/pearrun/shared/quotas.py
@@ -77,7 +77,7 @@
             return 0
         now = self.clock.now()
         bucket = self._refill_bucket(customer, now, self._compute_share(now))
-        missing = bucket.missing(customer.burst, self._get_lag_s())
+        missing = bucket.compute_shortfall(customer.burst, self._get_lag_s())
         return max(0.0, missing) * 1000.0 / customer.rate_per_s
 
     def get_level(self, call):
@@ -106,7 +106,7 @@
             customer = self.config.current.customers.get(name)
             if customer is not None and customer.rate_per_s > 0:
                 bucket = self._refill_bucket(customer, now, share)
-                bucket.take_report(run, use.total, use.rate, now, heard)
+                bucket.apply_report(run, use.total, use.rate, now, heard)
 
     def remove(self, run):
         """Remove a run that has ended, keeping its units in zone totals."""
@@ -173,10 +173,10 @@
         through different hubs.
         """
         age_ms = now - self.started_ms
-        if self._has_full_share or age_ms > quota.START_MS:
+        if self._has_full_share or age_ms > quota.STARTUP_MS:
             return 1.0
         members = self.members
-        share = quota.start_share(
+        share = quota.compute_startup_share(
             members.count_heard(), members.count() - 1, members.listed, age_ms
         )
         self._has_full_share = members.listed and share >= 1.0
@@ -191,7 +191,7 @@
         if bucket is None:
             bucket = quota.SharedBucket(customer.burst * share, now)
             self.buckets[customer.name] = bucket
-        rate = quota.refill_rate(
+        rate = quota.compute_refill_rate(
             customer.rate_per_s,
             customer.burst,
             self.settings,
--- a/pearrun/shared/scaler.py
+++ b/pearrun/shared/scaler.py
@@ -117,7 +117,7 @@
             known = zones.get(record.zone, scaling.ZoneCount())
             zones[record.zone] = scaling.ZoneCount(
                 known.reclaimable + record.reclaimable,
-                known.lasting + (not record.reclaimable),
+                known.on_demand + (not record.reclaimable),
             )
         return zones
 
@@ -139,7 +139,9 @@
             self.settings,
         )
         past[now] = max(past.get(now, 0), needed)
-        for old in [at for at in past if now - at > self.settings.hold_ms]:
+        for old in [
+            at for at in past if now - at > self.settings.reclaimable_hold_ms
+        ]:
             del past[old]
         need = self._compute_need(service_name, now)
         if self.last_need.get(service_name) != need:
@@ -157,7 +159,7 @@
 
     def _compute_need(self, service_name, now):
         """Return the :class:`Need` derived from the recorded needs."""
-        return scaling.hold_need(
+        return scaling.compute_need(
             self.need_history[service_name],
             now,
             self.settings,
@@ -195,7 +197,7 @@
         scaled = sum(
             service.scale is not None for service in config.services.values()
         )
-        return scaling.expect_needed(units / scaled, self.settings)
+        return scaling.estimate_initial_count(units / scaled, self.settings)
 
     async def _send(self, order, term, now):
         key = (order.service, order.zone, order.reclaimable)
--- a/pearrun/shared/selection.py
+++ b/pearrun/shared/selection.py
@@ -83,19 +83,19 @@
         affinity = shared[-1].id if shared else None
         answer_ms = self.demands.get_answer_ms(service.name)
         shared_tokens = sum(part.tokens for part in shared)
-        demand = placement.Demand(
+        demand = placement.CallDemand(
             call.prompt.tokens, affinity, shared_tokens, answer_ms
         )
         model = self.engines.find_by_service(service.name)
-        unseen = self._estimate_unseen(service.name, answer_ms, model)
+        unreported = self._estimate_unseen(service.name, answer_ms, model)
         best, expected_ms = placement.choose(
-            candidates, demand, model, self.settings, unseen
+            candidates, demand, model, self.settings, unreported
         )
         if best is None:
             return None
         endpoint = self.fleet.endpoints[best.id]
-        endpoint.pause.note_try(now)
-        self._get_zone_health(endpoint).pause.note_try(now)
+        endpoint.pause.start_probe(now)
+        self._get_zone_health(endpoint).pause.start_probe(now)
         uncached = max(0, call.prompt.tokens - best.cached_tokens)
         queued_ms = expected_ms - uncached / model.tokens_per_ms
         return Selected(
@@ -131,8 +131,8 @@
         """Estimate the calls that other hosts sent since their reports."""
         others = self.demands.others.sum().get(service_name)
         if others is None or not self.feed.through_hubs:
-            return placement.NOTHING_UNSEEN
-        return placement.expect_unseen(
+            return placement.NO_UNREPORTED_LOAD
+        return placement.estimate_unreported_load(
             others, HUB_REPORT_AGE_MS, answer_ms, model, self.settings
         )
 
@@ -180,7 +180,7 @@
         endpoint.failures += 1
         if silent:
             self._get_zone_health(endpoint).note_silence(endpoint.id, now)
-        if not avoidance.should_avoid(endpoint.failures, refused or silent):
+        if not avoidance.should_pause(endpoint.failures, refused or silent):
             return 0
         endpoint.pause.begin(now)
         return endpoint.pause.length_ms
--- a/tests/test_quota_cost.py
+++ b/tests/test_quota_cost.py
@@ -58,7 +58,7 @@
 
 
 @pytest.mark.parametrize(
-    ('age_ms', 'max_counts'), [(1000, 1), (quota.START_MS + 1, 0)]
+    ('age_ms', 'max_counts'), [(1000, 1), (quota.STARTUP_MS + 1, 0)]
 )
 def test_a_report_counts_the_hosts_at_most_once(
     monkeypatch, age_ms, max_counts
