--- a/benchmarks/slopes.py
+++ b/benchmarks/slopes.py
@@ -228,7 +228,7 @@
             )
             await asyncio.sleep(number / count)
             for _ in range(seconds):
-                body = {'value': member.to_beat()}
+                body = {'value': member.to_heartbeat()}
                 async with session.post(url, json=body):
                     pass
                 await asyncio.sleep(1)
--- a/pearrun/api/backends.py
+++ b/pearrun/api/backends.py
@@ -15,7 +15,7 @@
 LOAD_TIMEOUT = aiohttp.ClientTimeout(total=CONNECT_S)
 
 
-async def wait_for_reply(session, endpoint, call, host):
+async def wait_for_response(session, endpoint, call, host):
     """Wait until an engine begins to answer, however long its queue.
 
     Silence may mean a queue or a connection that is lost for good, so
@@ -48,18 +48,18 @@
             task.cancel()
 
 
-async def read_lines(reply, stall_ms):
+async def read_lines(response, stall_ms):
     """Iterate over an answer's lines as they come; silence ends it.
 
     :raises TimeoutError: no line came for ``stall_ms``.
     """
     silence = TimeoutError(f'no token for {stall_ms} ms')
     watchdog = Watchdog(
-        to_seconds(stall_ms), lambda: reply.content.set_exception(silence)
+        to_seconds(stall_ms), lambda: response.content.set_exception(silence)
     )
     try:
-        async for raw in reply.content:
-            watchdog.hear()
+        async for raw in response.content:
+            watchdog.reset()
             yield raw
     finally:
         watchdog.stop()
@@ -95,17 +95,17 @@
         f'{endpoint.url}/v1/generate', json=body, timeout=STREAM_TIMEOUT
     )
     try:
-        reply = await wait_for_reply(session, endpoint, call, host)
-        async with reply:
-            if 400 <= reply.status < 500:
+        response = await wait_for_response(session, endpoint, call, host)
+        async with response:
+            if 400 <= response.status < 500:
                 raise exceptions.EndpointRefusedError(
-                    f'{endpoint.id} refused the request: {reply.status}'
+                    f'{endpoint.id} refused the request: {response.status}'
                 )
-            if reply.status != 200:
+            if response.status != 200:
                 raise exceptions.BackendError(
-                    f'{endpoint.id} answered {reply.status}'
+                    f'{endpoint.id} answered {response.status}'
                 )
-            lines = read_lines(reply, host.stall_ms)
+            lines = read_lines(response, host.stall_ms)
             async with contextlib.aclosing(lines):
                 async for raw in lines:
                     line = orjson.loads(raw)
@@ -175,8 +175,8 @@
     try:
         async with session.get(
             f'{endpoint.url}/v1/load', timeout=LOAD_TIMEOUT
-        ) as reply:
-            data = await reply.json(content_type=None)
+        ) as response:
+            data = await response.json(content_type=None)
             return int(data['active']) + int(data['waiting'])
     except (aiohttp.ClientError, OSError, ValueError, KeyError):
         return None
--- a/pearrun/api/calls.py
+++ b/pearrun/api/calls.py
@@ -23,7 +23,7 @@
     publish: str | None = None
 
 
-class OnceCaller:
+class AtMostOnceCaller:
     """Claims keys and makes their calls.
 
     :param settings: the daemon's whole :class:`Settings`.
@@ -32,18 +32,25 @@
     :param journal: the daemon's :class:`Journal`.
     :param membership: the daemon's :class:`Membership`.
     :param places: a :class:`Placement` that picks endpoints.
-    :param crashes: the daemon's :class:`JobCrashes`.
+    :param crashes: the daemon's :class:`JobCrashTracker`.
     """
 
     def __init__(
-        self, settings, session, claims, journal, membership, places, crashes
+        self,
+        settings,
+        session,
+        claims,
+        journal,
+        membership,
+        placement,
+        crashes,
     ):
         self.settings = settings
         self.session = session
         self.claims = claims
         self.journal = journal
         self.membership = membership
-        self.places = places
+        self.placement = placement
         self.crashes = crashes
         self.clock = Clock()
 
@@ -58,7 +65,7 @@
         :raises CapacityError: another host is still making the call.
         """
         key = job.idempotency_key
-        digest = claims_module.digest_of(job.prompt)
+        digest = claims_module.compute_digest(job.prompt)
         claim = await self.claim(key, digest)
         if claim.digest != digest:
             raise exceptions.IdempotencyMismatchError(
@@ -66,11 +73,13 @@
             )
         if not claim.won:
             text = await self.claims.wait_outcome(
-                key, self.settings.host.stall_ms, self.membership.is_gone
+                key,
+                self.settings.host.stall_ms,
+                self.membership.is_writer_dead,
             )
             return CallOutcome(text)
         try:
-            text = await self.make(job, service)
+            text = await self.make_call(job, service)
         except exceptions.BackendError as exc:
             failure = exceptions.OutcomeUnknownError(
                 f'the call may have run; it is not repeated: {exc.message}'
@@ -83,7 +92,7 @@
 
         :returns: a :class:`Claim`.
         """
-        attempt = claims_module.new_attempt()
+        attempt = claims_module.generate_attempt_id()
         backoff = Backoff()
         while True:
             try:
@@ -93,7 +102,7 @@
             except exceptions.CapacityError:
                 await backoff.pause()
 
-    async def make(self, job, service):
+    async def make_call(self, job, service):
         """Make a claimed call; only one that cannot have run is retried.
 
         :returns: the service's answer.
@@ -102,10 +111,12 @@
         tried = set()
         backoff = Backoff()
         while True:
-            endpoint = await self.places.choose(job, service, tried, backoff)
+            endpoint = await self.placement.choose(
+                job, service, tried, backoff
+            )
             begun_ms = self.clock.now()
             try:
-                with self.places.occupy(job, endpoint):
+                with self.placement.track_in_flight(job, endpoint):
                     return await backends.call_service(
                         self.session, endpoint, job, self.settings.host
                     )
@@ -114,5 +125,5 @@
                 await backoff.pause()
             except exceptions.BackendError:
                 ran_ms = self.clock.since(begun_ms)
-                self.crashes.note_broken(job, endpoint, ran_ms, False)
+                self.crashes.check_for_crash(job, endpoint, ran_ms, False)
                 raise
--- a/pearrun/api/claims.py
+++ b/pearrun/api/claims.py
@@ -27,8 +27,8 @@
 CLAIMED = 'claimed'
 ANSWERED = 'answered'
 UNKNOWN = 'unknown'
-POLL_MS = 50
-MAX_TRIES = 5
+OUTCOME_POLL_MS = 50
+MAX_CLAIM_ATTEMPTS = 5
 
 
 @dataclasses.dataclass(frozen=True)
@@ -46,17 +46,17 @@
     unknown: bool = False
 
 
-def stream_of(key):
+def get_claim_stream(key):
     """Return the stream name that holds a scoped key's claim."""
-    return f'key.{digest_of(key)}'
+    return f'key.{compute_digest(key)}'
 
 
-def digest_of(text):
+def compute_digest(text):
     """Return a short hash of a text."""
     return hashlib.blake2b(text.encode('utf-8'), digest_size=12).hexdigest()
 
 
-def new_attempt():
+def generate_attempt_id():
     """Return a unique id for one run of a request."""
     return uuid.uuid4().hex
 
@@ -87,16 +87,18 @@
         :raises JournalUnavailableError: the log cannot say; the call
             must not be made by this attempt.
         """
-        attempt = attempt or new_attempt()
+        attempt = attempt or generate_attempt_id()
         value = {
             'kind': CLAIMED,
             'attempt': attempt,
             'holder': holder,
             'digest': digest,
         }
-        for _ in range(MAX_TRIES):
+        for _ in range(MAX_CLAIM_ATTEMPTS):
             try:
-                await self.log.append(stream_of(key), value, expected_offset=0)
+                await self.log.append(
+                    get_claim_stream(key), value, expected_offset=0
+                )
                 return Claim(holder, won=True, digest=digest)
             except exceptions.ConfigConflictError:
                 return await self.read(key, attempt)
@@ -114,7 +116,7 @@
             retention.
         """
         try:
-            records, _ = await self.log.read(stream_of(key), 0, 2)
+            records, _ = await self.log.read(get_claim_stream(key), 0, 2)
         except exceptions.ExpiredOffsetError as exc:
             raise exceptions.OutcomeUnknownError(
                 'key was used longer ago than the log keeps records'
@@ -140,7 +142,9 @@
         backoff = Backoff()
         while True:
             try:
-                await self.log.append(stream_of(key), value, expected_offset=1)
+                await self.log.append(
+                    get_claim_stream(key), value, expected_offset=1
+                )
                 return
             except exceptions.ConfigConflictError:
                 return
@@ -170,7 +174,7 @@
             if is_dead(claim.holder):
                 await self.publish(key, UNKNOWN)
                 continue
-            await asyncio.sleep(to_seconds(POLL_MS))
+            await asyncio.sleep(to_seconds(OUTCOME_POLL_MS))
         failure = exceptions.CapacityError(
             'another host is making this call', retry_after_s=1
         )
--- a/pearrun/api/crashes.py
+++ b/pearrun/api/crashes.py
@@ -21,17 +21,17 @@
 from pearrun.states import EndpointState
 
 # Broken jobs of one endpoint within this time are of one crash.
-SAME_CRASH_MS = 2000
+CRASH_WINDOW_MS = 2000
 # How long a job waits to know of a crash before it goes on elsewhere.
-CHECK_WAIT_MS = 50
+CRASH_CHECK_WAIT_MS = 50
 # Port of an endpoint whose URL names none.
 HTTP_PORT = 80
 # Suspects in a beat, and crashes whose times are remembered.
-MAX_TOLD = 16
-MAX_CRASHES = 256
+MAX_SENT_SUSPECTS = 16
+MAX_TRACKED_CRASHES = 256
 
 
-class JobCrashes:
+class JobCrashTracker:
     """Finds crashes under this daemon's jobs; tells and hears of them."""
 
     def __init__(self):
@@ -67,7 +67,7 @@
         """Note that an endpoint answered a job."""
         self.quarantine.note_answered(job)
 
-    def note_broken(self, job, endpoint, ran_ms, progressed):
+    def check_for_crash(self, job, endpoint, ran_ms, progressed):
         """Begin to find out whether an endpoint crashed under a job.
 
         :param ran_ms: how long the job ran there.
@@ -83,7 +83,7 @@
 
     async def wait_briefly(self, task):
         """Wait for a check, but not for an endpoint that goes on."""
-        await asyncio.wait({task}, timeout=to_seconds(CHECK_WAIT_MS))
+        await asyncio.wait({task}, timeout=to_seconds(CRASH_CHECK_WAIT_MS))
 
     async def _check(self, job, endpoint, ran_ms, progressed):
         leaves = endpoint.reclaim_at_ms is not None
@@ -94,7 +94,7 @@
             return
         now = self.clock.now()
         ran_well = runs_well(ran_ms, ran_ms if progressed else 0)
-        crash_id = self._name_crash(endpoint.id, now)
+        crash_id = self._make_crash_id(endpoint.id, now)
         crash = Crash(crash_id, now, ran_ms, ran_well)
         self.quarantine.handle_crashes([(job.fingerprint, crash)])
 
@@ -105,7 +105,7 @@
         known = self.quarantine.known.suspects.values()
         return [
             suspects.to_fields(item.to_clock(now, wall))
-            for item in select_worst(known, MAX_TOLD)
+            for item in select_worst(known, MAX_SENT_SUSPECTS)
         ]
 
     def receive(self, told):
@@ -120,13 +120,13 @@
         dated = [item.to_clock(wall, now) for item in known]
         self.quarantine.merge(dated, 'beat', forward=False)
 
-    def _name_crash(self, endpoint_id, now):
+    def _make_crash_id(self, endpoint_id, now):
         """Return the name of an endpoint's crash that was noticed now."""
         before_ms = self._crashed_ms.get(endpoint_id)
-        if before_ms is None or now - before_ms > SAME_CRASH_MS:
+        if before_ms is None or now - before_ms > CRASH_WINDOW_MS:
             self._crashed_ms.pop(endpoint_id, None)
             self._crashed_ms[endpoint_id] = before_ms = now
-        while len(self._crashed_ms) > MAX_CRASHES:
+        while len(self._crashed_ms) > MAX_TRACKED_CRASHES:
             del self._crashed_ms[next(iter(self._crashed_ms))]
         wall = self.clock.wall() - (now - before_ms)
-        return f'{endpoint_id}@{wall // SAME_CRASH_MS}'
+        return f'{endpoint_id}@{wall // CRASH_WINDOW_MS}'
--- a/pearrun/api/daemon.py
+++ b/pearrun/api/daemon.py
@@ -21,8 +21,7 @@
 from pearrun.api import web
 from pearrun.api.claims import KeyClaims
 from pearrun.api.config import ConfigFollower
-from pearrun.api.crashes import JobCrashes
-from pearrun.api.departure import Departure
+from pearrun.api.crashes import JobCrashTracker
 from pearrun.api.dispatcher import Dispatcher
 from pearrun.api.hosts import HostWatcher
 from pearrun.api.journal import Journal
@@ -30,12 +29,13 @@
 from pearrun.api.lookup import Lookup
 from pearrun.api.members import Member
 from pearrun.api.members import Membership
-from pearrun.api.orders import OrderKeeper
-from pearrun.api.pace import Pace
+from pearrun.api.orders import OrderReconciler
 from pearrun.api.peers import Peers
 from pearrun.api.recovery import Recovery
 from pearrun.api.router import Router
 from pearrun.api.runner import Runner
+from pearrun.api.shutdown import GracefulShutdown
+from pearrun.api.tokenbucket import TokenBucket
 from pearrun.clock import to_seconds
 from pearrun.metrics import MetricsTable
 from pearrun.states import EndpointState
@@ -59,7 +59,7 @@
         self.router = Router.from_settings(settings)
         self.peers = None
         self.metrics = MetricsTable()
-        self.crashes = JobCrashes()
+        self.crashes = JobCrashTracker()
         self.session = None
         self.journal = None
         self.config = None
@@ -82,7 +82,7 @@
         log = LogClient(self.session, settings.platform)
         self.config = ConfigFollower(log, settings, self.on_config)
         self.peers = Peers(settings, self.router, self.config)
-        pace = Pace(settings.platform.appends_per_s, self.count_daemons)
+        pace = TokenBucket(settings.platform.appends_per_s, self.count_daemons)
         self.journal = Journal(log, settings, self.on_sealed, pace)
         self.membership = Membership(
             log,
@@ -91,7 +91,9 @@
             self.hear_leaving,
             self.crashes.receive,
         )
-        self.crashes.quarantine.tell_others = self.membership.beat_now.set
+        self.crashes.quarantine.tell_others = (
+            self.membership.heartbeat_requested.set
+        )
         runner = Runner(
             settings,
             self.session,
@@ -119,7 +121,7 @@
             self.membership,
             self.journal,
         )
-        self.departure = Departure(
+        self.departure = GracefulShutdown(
             settings,
             self.dispatcher,
             self.journal,
@@ -131,9 +133,9 @@
             settings,
             self.router,
             self.announce_leaving,
-            self.departure.on_reclaim,
+            self.departure.handle_reclaim_notice,
         )
-        self.orders = OrderKeeper(
+        self.orders = OrderReconciler(
             self.session,
             settings,
             self.router,
@@ -157,14 +159,14 @@
                 self.dispatcher.list_running
             ),
             'config': self.config.follow(),
-            'beats': self.membership.keep_beating(),
+            'beats': self.membership.run_heartbeats(),
             'recovery': self.watch_members(),
             'cloud': self.hosts.watch_cloud(),
             'loads': self.hosts.watch_loads(),
             'orders': self.orders.watch(),
         }
         for url in self.peers.links:
-            work[url] = self.peers.keep_link(url)
+            work[url] = self.peers.maintain_link(url)
         self.tasks = [
             asyncio.create_task(coroutine, name=name)
             for name, coroutine in work.items()
@@ -194,7 +196,7 @@
             settings.platform != self.settings.platform
         ):
             logger.warning('host and platform settings need a restart')
-        self.router.replace(settings.endpoints)
+        self.router.update_endpoints(settings.endpoints)
         self.config.apply(settings.team_tree())
         logger.info('settings read again', endpoints=len(settings.endpoints))
 
@@ -227,11 +229,11 @@
 
     def on_config(self):
         """Act on a newer team tree being in force."""
-        self.membership.beat_now.set()
+        self.membership.heartbeat_requested.set()
 
     def count_daemons(self):
         """Return how many daemons share the log's append rate."""
-        return len(self.membership.live())
+        return len(self.membership.list_live())
 
     def announce_leaving(self, endpoint_id):
         """Tell every daemon that an endpoint takes no new work.
@@ -240,7 +242,7 @@
         through the next beat, which is sent at once.
         """
         self.peers.broadcast_leaving(endpoint_id)
-        self.membership.beat_now.set()
+        self.membership.heartbeat_requested.set()
 
     def hear_leaving(self, endpoint_id):
         """Note an endpoint that another daemon reports as leaving."""
@@ -252,7 +254,7 @@
         A host that is leaving has asked for it.
         """
         self.dispatcher.on_sealed()
-        self.membership.beat_now.set()
+        self.membership.heartbeat_requested.set()
 
     def status(self):
         """Return what an operator sees, JSON-ready."""
@@ -280,7 +282,7 @@
                 'adopted': self.recovery.adopted,
             },
             'members': [
-                dict(m.to_beat(), missed=m.missed)
+                dict(m.to_heartbeat(), missed=m.missed)
                 for m in self.membership.members.values()
             ],
         }
--- a/pearrun/api/dispatcher.py
+++ b/pearrun/api/dispatcher.py
@@ -6,7 +6,7 @@
 
 from pearrun import exceptions
 from pearrun.api import journal as journal_module
-from pearrun.api.crashes import JobCrashes
+from pearrun.api.crashes import JobCrashTracker
 from pearrun.api.saving import describe_acceptance
 from pearrun.api.saving import describe_end
 from pearrun.api.saving import Saver
@@ -33,7 +33,7 @@
     :param config: a :class:`ConfigFollower` holding the tree in force.
     :param runner: a :class:`Runner`.
     :param metrics: a :class:`MetricsTable`.
-    :param crashes: the daemon's :class:`JobCrashes`.
+    :param crashes: the daemon's :class:`JobCrashTracker`.
     """
 
     def __init__(
@@ -52,11 +52,11 @@
         self.config = config
         self.runner = runner
         self.metrics = metrics
-        self.crashes = crashes or JobCrashes()
+        self.crashes = crashes or JobCrashTracker()
         self.clock = Clock()
         self.saver = Saver(settings, journal)
         self.jobs = {}
-        self.by_key = {}
+        self.jobs_by_key = {}
         self.running = {}
         self.accepting = True
 
@@ -89,7 +89,7 @@
             )
         return service
 
-    async def submit(self, body, key=None, promise=True):
+    async def submit(self, body, key=None, require_durable=True):
         """Accept a request: check it, journal it, start it.
 
         The acceptance goes on when the caller's connection drops in
@@ -106,8 +106,8 @@
         """
         service = self.check(body, key)
         scoped = IdempotencyKey(f'{body.model}/{key}') if key else None
-        if scoped in self.by_key:
-            job = await asyncio.shield(self.by_key[scoped])
+        if scoped in self.jobs_by_key:
+            job = await asyncio.shield(self.jobs_by_key[scoped])
             if job.prompt != body.prompt:
                 raise exceptions.IdempotencyMismatchError(
                     'this Idempotency-Key was used for another request'
@@ -129,13 +129,13 @@
             idempotency_key=scoped,
         )
         self.crashes.check_request(job)
-        if promise or not service.idempotent:
+        if require_durable or not service.idempotent:
             work = self.accept(job, service)
         else:
             work = self.serve(job, service)
         acceptance = asyncio.create_task(work)
         if scoped is not None:
-            self.by_key[scoped] = acceptance
+            self.jobs_by_key[scoped] = acceptance
         return await asyncio.shield(acceptance)
 
     async def accept(self, job, service):
@@ -148,7 +148,7 @@
         try:
             await self.journal_acceptance(job)
         except exceptions.PearrunError:
-            self.by_key.pop(job.idempotency_key, None)
+            self.jobs_by_key.pop(job.idempotency_key, None)
             counters.rejected += 1
             raise
         counters.accepted += 1
@@ -180,14 +180,14 @@
         :raises JournalUnavailableError: too much waits for the log.
         """
         if self.journal.full:
-            self.by_key.pop(job.idempotency_key, None)
+            self.jobs_by_key.pop(job.idempotency_key, None)
             raise exceptions.JournalUnavailableError(
                 'the log service is behind', retry_after_s=1
             )
         self.metrics.of(job.service).accepted += 1
         self.start(job, service)
         landed = self.journal.enqueue(describe_acceptance(job))
-        landed.add_done_callback(lambda done: note_landing(job, done))
+        landed.add_done_callback(lambda done: update_durability(job, done))
         self.journal.wake.set()
         if not self.journal.failing:
             wait_s = to_seconds(self.settings.host.accept_wait_ms)
@@ -253,21 +253,21 @@
 
         :returns: the future of the journal entry's landing.
         """
-        self.forget_later(job)
+        self.schedule_removal(job)
         return self.journal.enqueue(describe_end(job))
 
-    def forget_later(self, job):
+    def schedule_removal(self, job):
         """Drop a finished job when its answer has been kept a while."""
         keep_s = to_seconds(self.settings.host.answer_keep_ms)
-        asyncio.get_running_loop().call_later(keep_s, self.forget, job)
+        asyncio.get_running_loop().call_later(keep_s, self.remove_job, job)
 
-    def forget(self, job):
+    def remove_job(self, job):
         """Drop a finished job; its answer is on the log from here on."""
         if job.readers:
-            self.forget_later(job)
+            self.schedule_removal(job)
             return
         self.jobs.pop(job.id, None)
-        self.by_key.pop(job.idempotency_key, None)
+        self.jobs_by_key.pop(job.idempotency_key, None)
 
     def on_sealed(self):
         """Drop jobs that another host took over and nobody reads here.
@@ -283,7 +283,7 @@
                 task.cancel()
             job.handed_over = True
             self.jobs.pop(job.id, None)
-            self.by_key.pop(job.idempotency_key, None)
+            self.jobs_by_key.pop(job.idempotency_key, None)
 
     def list_running(self):
         """Return the running jobs that are still this daemon's."""
@@ -346,6 +346,6 @@
             await asyncio.sleep(0)
 
 
-def note_landing(job, landed):
+def update_durability(job, landed):
     """Note that a job's acceptance is on the log, if it is."""
     job.durable = not landed.cancelled() and landed.exception() is None
--- a/pearrun/api/hosts.py
+++ b/pearrun/api/hosts.py
@@ -12,9 +12,9 @@
 from pearrun.states import BackendKind
 from pearrun.states import EndpointState
 
-LIST_EVERY = 4
-IDLE_MS = 2000
-MIN_REST_MS = 10
+POLLS_PER_HOST_LIST = 4
+POLLING_IDLE_MS = 2000
+MIN_PAUSE_MS = 10
 CLOUD_TIMEOUT = aiohttp.ClientTimeout(total=2)
 
 
@@ -63,8 +63,8 @@
         params = {'since': str(self.notice_seq)}
         async with self.session.get(
             f'{base}/v1/notices', params=params, timeout=CLOUD_TIMEOUT
-        ) as reply:
-            notices = (await reply.json())['notices']
+        ) as response:
+            notices = (await response.json())['notices']
         for notice in notices:
             self.notice_seq = max(self.notice_seq, int(notice['seq']))
             at_ms = self.clock.now() + int(notice['notice_ms'])
@@ -77,8 +77,8 @@
         base = self.settings.platform.cloud_url.rstrip('/')
         async with self.session.get(
             f'{base}/v1/hosts', timeout=CLOUD_TIMEOUT
-        ) as reply:
-            hosts = (await reply.json())['hosts']
+        ) as response:
+            hosts = (await response.json())['hosts']
         for host in hosts:
             if host['state'] != EndpointState.LIVE.value:
                 self.mark_leaving(host['id'], 'host list')
@@ -90,13 +90,13 @@
         for poll in itertools.count():
             try:
                 await self.read_notices()
-                if poll % LIST_EVERY == 0:
+                if poll % POLLS_PER_HOST_LIST == 0:
                     await self.read_host_list()
             except (aiohttp.ClientError, OSError, ValueError, KeyError) as exc:
                 logger.debug('cloud API not read', error=repr(exc))
             await asyncio.sleep(to_seconds(self.settings.host.hosts_poll_ms))
 
-    def polled(self):
+    def list_polled_engines(self):
         """Return the engines whose load is asked for.
 
         All of them while a round takes at most a second, else the own
@@ -123,19 +123,19 @@
 
         At most ``load_polls_per_s`` engines are asked a second, so
         that the cost does not grow with the fleet, and none while no
-        request was routed for :data:`IDLE_MS`.
+        request was routed for :data:`POLLING_IDLE_MS`.
         """
         gap_s = 1.0 / self.settings.host.load_polls_per_s
         rest_ms = self.settings.host.loads_poll_ms
         while True:
             started = self.clock.now()
-            if started - self.router.used_ms > IDLE_MS:
+            if started - self.router.last_used_ms > POLLING_IDLE_MS:
                 for endpoint in self.router.endpoints.values():
                     endpoint.reported_load = 0
                 await asyncio.sleep(to_seconds(rest_ms))
                 continue
-            for endpoint in self.polled():
+            for endpoint in self.list_polled_engines():
                 await self.read_load(endpoint)
                 await asyncio.sleep(gap_s)
             left_ms = rest_ms - self.clock.since(started)
-            await asyncio.sleep(to_seconds(max(left_ms, MIN_REST_MS)))
+            await asyncio.sleep(to_seconds(max(left_ms, MIN_PAUSE_MS)))
--- a/pearrun/api/journal.py
+++ b/pearrun/api/journal.py
@@ -82,7 +82,7 @@
     :param settings: the daemon's whole :class:`Settings`.
     :param on_sealed: called without arguments when another host has
         sealed the stream and a new one has been opened.
-    :param pace: a :class:`Pace` to keep to, or ``None``.
+    :param pace: a :class:`TokenBucket` to keep to, or ``None``.
     """
 
     def __init__(self, log, settings, on_sealed=None, pace=None):
@@ -154,7 +154,7 @@
             self.wake.clear()
             while self.waiting:
                 if self.pace is not None:
-                    await asyncio.sleep(to_seconds(self.pace.take()))
+                    await asyncio.sleep(to_seconds(self.pace.reserve()))
                 self.drop_overdue()
                 count = min(MAX_BATCH, len(self.waiting))
                 batch = [self.waiting.popleft() for _ in range(count)]
--- a/pearrun/api/handoff.py
+++ b/pearrun/api/kvtransfer.py
@@ -11,7 +11,7 @@
 from pearrun.clock import to_seconds
 
 
-async def move_cache(session, job, source, target, timeout_ms):
+async def transfer_cache(session, job, source, target, timeout_ms):
     """Copy a job's KV cache blocks between two engines.
 
     A failure costs only recomputation: the stream resumes either way.
@@ -28,14 +28,14 @@
     try:
         async with session.post(
             f'{source.url}/v1/kv/export', json=body, timeout=timeout
-        ) as reply:
-            blocks = (await reply.json(content_type=None))['blocks']
+        ) as response:
+            blocks = (await response.json(content_type=None))['blocks']
         async with session.post(
             f'{target.url}/v1/kv/import',
             json={'blocks': blocks},
             timeout=timeout,
-        ) as reply:
-            data = await reply.json(content_type=None)
+        ) as response:
+            data = await response.json(content_type=None)
             return int(data['imported'])
     except (aiohttp.ClientError, OSError, ValueError, KeyError):
         return 0
--- a/pearrun/api/lookup.py
+++ b/pearrun/api/lookup.py
@@ -268,11 +268,11 @@
     job.readers += 1
     try:
         while True:
-            await job.wait_beyond(sent)
+            await job.wait_for_tokens(sent)
             while sent < len(job.tokens):
                 yield sent, job.tokens[sent]
                 sent += 1
-            if job.settled and sent >= len(job.tokens):
+            if job.ended_here and sent >= len(job.tokens):
                 break
     finally:
         job.readers -= 1
--- a/pearrun/api/members.py
+++ b/pearrun/api/members.py
@@ -21,8 +21,8 @@
 from pearrun.states import MemberState
 
 STREAM = 'members'
-TAIL = 2000
-BEATS_PER_S = 40
+MAX_INITIAL_RECORDS = 2000
+MAX_HEARTBEATS_PER_S = 40
 
 
 @dataclasses.dataclass
@@ -46,7 +46,7 @@
     replaced: bool = False
 
     @classmethod
-    def from_beat(cls, beat):
+    def from_heartbeat(cls, beat):
         """Build a member from a beat's map."""
         return cls(
             name=str(beat['name']),
@@ -59,7 +59,7 @@
             suspects=list(beat.get('suspects', ())),
         )
 
-    def to_beat(self):
+    def to_heartbeat(self):
         """Return the member as a beat's JSON-ready map."""
         return {
             'name': self.name,
@@ -95,10 +95,10 @@
         self.on_suspects = on_suspects
         self.members = {}
         self.next_offset = None
-        self.beat_now = asyncio.Event()
+        self.heartbeat_requested = asyncio.Event()
         self.reading = asyncio.Lock()
-        self.own_beats = 0
-        self.asked = {}
+        self.own_heartbeats = 0
+        self.first_asked = {}
 
     @property
     def orphan_beats(self):
@@ -113,7 +113,7 @@
             or member.missed >= self.orphan_beats
         )
 
-    def is_gone(self, stream):
+    def is_writer_dead(self, stream):
         """Say whether the writer of a journal stream is dead.
 
         A writer never heard of is dead once ``orphan_beats`` of this
@@ -123,12 +123,12 @@
             return False
         member = self.members.get(stream)
         if member is not None:
-            self.asked.pop(stream, None)
+            self.first_asked.pop(stream, None)
             return self.is_dead(member)
-        since = self.asked.setdefault(stream, self.own_beats)
-        return self.own_beats - since >= self.orphan_beats
+        since = self.first_asked.setdefault(stream, self.own_heartbeats)
+        return self.own_heartbeats - since >= self.orphan_beats
 
-    def live(self):
+    def list_live(self):
         """Return the members that are not taken for dead."""
         return [m for m in self.members.values() if not self.is_dead(m)]
 
@@ -136,7 +136,7 @@
         """Return the member writing a journal stream, or ``None``."""
         return self.members.get(stream)
 
-    def forget(self, stream):
+    def remove(self, stream):
         """Drop a member whose journal has been emptied."""
         self.members.pop(stream, None)
 
@@ -146,11 +146,11 @@
         :param own_stream: this daemon's own journal stream, when the
             caller has it at hand.
         """
-        member = Member.from_beat(beat)
+        member = Member.from_heartbeat(beat)
         own_stream = own_stream or self.describe().stream
         is_own = member.stream == own_stream
         counts = is_own and not beat.get('extra', False)
-        self.own_beats += counts
+        self.own_heartbeats += counts
         for other in self.members.values():
             if other.name == member.name and other.stream != member.stream:
                 other.replaced = True
@@ -163,13 +163,13 @@
         if not is_own and self.on_suspects is not None and member.suspects:
             self.on_suspects(member.suspects)
 
-    async def beat(self, extra=False):
+    async def send_heartbeat(self, extra=False):
         """Append one beat; a beat that does not land is skipped.
 
         :param extra: it is sent between times, to tell some news, and
             does not count when others' silence is measured.
         """
-        beat = dict(self.describe().to_beat(), extra=extra)
+        beat = dict(self.describe().to_heartbeat(), extra=extra)
         try:
             await self.log.append(STREAM, beat)
         except exceptions.PearrunError:
@@ -180,27 +180,27 @@
     def pause_ms(self):
         """Time between beats: longer the more daemons are alive.
 
-        All of them together append at most :data:`BEATS_PER_S`.
+        All of them together append at most :data:`MAX_HEARTBEATS_PER_S`.
         """
-        crowded_ms = 1000 * len(self.live()) // BEATS_PER_S
+        crowded_ms = 1000 * len(self.list_live()) // MAX_HEARTBEATS_PER_S
         return max(self.settings.host.beat_ms, crowded_ms)
 
-    async def keep_beating(self):
+    async def run_heartbeats(self):
         """Beat for the daemon's whole life."""
         while True:
-            await self.beat()
+            await self.send_heartbeat()
             try:
                 async with asyncio.timeout(to_seconds(self.pause_ms)):
-                    await self.tell_news()
+                    await self.send_requested_heartbeats()
             except TimeoutError:
                 continue
 
-    async def tell_news(self):
+    async def send_requested_heartbeats(self):
         """Send an extra beat whenever there is news, until cancelled."""
         while True:
-            await self.beat_now.wait()
-            self.beat_now.clear()
-            await self.beat(extra=True)
+            await self.heartbeat_requested.wait()
+            self.heartbeat_requested.clear()
+            await self.send_heartbeat(extra=True)
 
     async def poll_once(self):
         """Read the beats that are new on the log, each once.
@@ -210,7 +210,7 @@
         async with self.reading:
             if self.next_offset is None:
                 first, head = await self.log.bounds(STREAM)
-                self.next_offset = max(first, head - TAIL)
+                self.next_offset = max(first, head - MAX_INITIAL_RECORDS)
             records, self.next_offset = await self.log.read_all(
                 STREAM, self.next_offset
             )
--- a/pearrun/api/orders.py
+++ b/pearrun/api/orders.py
@@ -25,7 +25,7 @@
 from loguru import logger
 
 from pearrun import exceptions
-from pearrun.api.router import rendezvous_score
+from pearrun.api.router import compute_rendezvous_score
 from pearrun.clock import Clock
 from pearrun.clock import to_seconds
 from pearrun.states import BackendKind
@@ -50,7 +50,7 @@
     fencing: int
 
 
-class OrderKeeper:
+class OrderReconciler:
     """Keeps the engines of this daemon's zone at the wanted models.
 
     :param session: an :class:`aiohttp.ClientSession`.
@@ -69,7 +69,7 @@
         self.clock = Clock()
         self.sent = 0
 
-    def wanted(self, endpoint):
+    def build_desired_orders(self, endpoint):
         """Return the orders an endpoint should stand at.
 
         :returns: a list of :class:`Order`, one for each model of the
@@ -83,16 +83,17 @@
                 models.add(service.model)
         return [Order(LOAD_MODEL, m, tree.version) for m in sorted(models)]
 
-    def is_mine(self, endpoint):
+    def is_responsible(self, endpoint):
         """Say whether this daemon is the one to give the orders."""
         own = self.membership.describe().stream
         names = [
             m.stream
-            for m in self.membership.live()
+            for m in self.membership.list_live()
             if m.zone == self.settings.host.zone
         ]
         best = max(
-            [own, *names], key=lambda n: rendezvous_score(n, endpoint.id)
+            [own, *names],
+            key=lambda n: compute_rendezvous_score(n, endpoint.id),
         )
         return best == own
 
@@ -100,8 +101,8 @@
         """Return the orders an engine has taken, oldest first."""
         async with self.session.get(
             f'{endpoint.url}/v1/orders', timeout=ORDER_TIMEOUT
-        ) as reply:
-            bodies = (await reply.json(content_type=None))['orders']
+        ) as response:
+            bodies = (await response.json(content_type=None))['orders']
         return [
             Order(str(b['kind']), str(b['value']), int(b['fencing']))
             for b in bodies
@@ -116,14 +117,14 @@
             f'{endpoint.url}/v1/orders',
             json=dataclasses.asdict(order),
             timeout=ORDER_TIMEOUT,
-        ) as reply:
-            if reply.status == 409:
+        ) as response:
+            if response.status == 409:
                 raise exceptions.StaleOrderError(
                     f'{endpoint.id} has a newer order than {order}'
                 )
         self.sent += 1
 
-    async def keep(self, endpoint):
+    async def reconcile(self, endpoint):
         """Bring one engine to the wanted orders, if it is not there.
 
         :raises JournalUnavailableError: the configuration cannot be
@@ -133,7 +134,7 @@
         while True:
             started = self.clock.now()
             await self.config.poll_once()
-            wanted = self.wanted(endpoint)
+            wanted = self.build_desired_orders(endpoint)
             newest = taken[-len(wanted) :] if wanted else []
             stands = [(o.kind, o.value) for o in newest]
             if stands == [(o.kind, o.value) for o in wanted]:
@@ -149,23 +150,23 @@
         while True:
             await asyncio.sleep(to_seconds(self.settings.host.orders_ms))
             for endpoint in list(self.router.endpoints.values()):
-                if self.is_due(endpoint):
-                    await self.try_keep(endpoint)
+                if self.needs_check(endpoint):
+                    await self.try_reconcile(endpoint)
 
-    def is_due(self, endpoint):
+    def needs_check(self, endpoint):
         """Say whether this daemon looks after an endpoint's orders."""
         return (
             endpoint.kind == BackendKind.ENGINE
             and endpoint.state == EndpointState.LIVE
             and endpoint.zone == self.settings.host.zone
-            and bool(self.wanted(endpoint))
-            and self.is_mine(endpoint)
+            and bool(self.build_desired_orders(endpoint))
+            and self.is_responsible(endpoint)
         )
 
-    async def try_keep(self, endpoint):
+    async def try_reconcile(self, endpoint):
         """Keep one engine; what fails is tried again later."""
         try:
-            await self.keep(endpoint)
+            await self.reconcile(endpoint)
         except (
             exceptions.PearrunError,
             aiohttp.ClientError,
--- a/pearrun/api/peers.py
+++ b/pearrun/api/peers.py
@@ -1,6 +1,6 @@
 """Peers: daemons of one failure domain, over websockets with CBOR.
 
-A daemon dials its next :data:`LINKS` neighbours in the ring of the
+A daemon dials its next :data:`MAX_LINKS` neighbours in the ring of the
 zone's addresses, one task each, so that the cost of links does not
 grow with the zone.  The task sends a heartbeat every ``heartbeat_ms``;
 a link that has been silent for ``peer_timeout_ms`` is dropped and
@@ -29,7 +29,7 @@
 from pearrun.clock import to_seconds
 from pearrun.states import EndpointState
 
-LINKS = 3
+MAX_LINKS = 3
 MAX_QUEUED = 1000
 
 
@@ -43,7 +43,7 @@
     reconnects: int = 0
 
 
-def choose_neighbours(own_url, urls, count=LINKS):
+def choose_neighbours(own_url, urls, count=MAX_LINKS):
     """Return the next ``count`` addresses after one's own in the ring.
 
     :param own_url: this daemon's own peer address.
@@ -125,7 +125,7 @@
             if answer is not None:
                 await websocket.send(self.encode(answer))
 
-    async def keep_link(self, url):
+    async def maintain_link(self, url):
         """Keep one outgoing link up for the daemon's whole life."""
         link = self.links[url]
         host = self.settings.host
@@ -139,14 +139,14 @@
                 ) as websocket:
                     link.connected = True
                     link.last_seen_ms = self.clock.now()
-                    await self.talk(websocket, link)
+                    await self.exchange_messages(websocket, link)
             except (OSError, websockets.WebSocketException, TimeoutError):
                 pass
             link.connected = False
             link.reconnects += 1
             await asyncio.sleep(to_seconds(host.heartbeat_ms))
 
-    async def talk(self, websocket, link):
+    async def exchange_messages(self, websocket, link):
         """Send heartbeats and news; give up when the peer is silent.
 
         :raises TimeoutError: nothing came for ``peer_timeout_ms``.
--- a/pearrun/api/placement.py
+++ b/pearrun/api/placement.py
@@ -3,12 +3,12 @@
 import contextlib
 
 from pearrun import exceptions
-from pearrun.api.router import policy_of
+from pearrun.api.router import build_policy
 from pearrun.clock import Clock
 from pearrun.states import BackendKind
 from pearrun.states import EndpointState
 
-MOVE_SAFETY = 2
+MIGRATION_SAFETY_FACTOR = 2
 
 
 class Placement:
@@ -39,12 +39,12 @@
         """Pick an endpoint; ``None`` when there is none."""
         try:
             return self.router.choose(
-                job.service, job.prompt, exclude, policy_of(service)
+                job.service, job.prompt, exclude, build_policy(service)
             )
         except exceptions.NoEndpointError:
             return None
 
-    def find_refuge(self, job, service, endpoint):
+    def find_migration_target(self, job, service, endpoint):
         """Return where to move a job whose endpoint is being reclaimed.
 
         :returns: an :class:`Endpoint`; ``None`` to stay, because the
@@ -55,23 +55,23 @@
             return None
         left_ms = endpoint.reclaim_at_ms - self.clock.now()
         needed_ms = (job.max_tokens - len(job.tokens)) * job.token_ms
-        if needed_ms * MOVE_SAFETY < left_ms:
+        if needed_ms * MIGRATION_SAFETY_FACTOR < left_ms:
             return None
         return self.find(job, service, {endpoint.id})
 
-    def last_engine(self, job):
+    def find_last_engine(self, job):
         """Return the engine a job last ran on, if it is known here."""
         last = self.router.endpoints.get(job.endpoint)
         if last is None or last.kind != BackendKind.ENGINE:
             return None
         return last
 
-    def is_live(self, endpoint):
+    def accepts_new_work(self, endpoint):
         """Say whether an endpoint takes new work."""
         return endpoint.state == EndpointState.LIVE
 
     @contextlib.contextmanager
-    def occupy(self, job, endpoint):
+    def track_in_flight(self, job, endpoint):
         """Count a job against an endpoint while it runs there."""
         begun = job.started
         job.endpoint = endpoint.id
--- a/pearrun/api/recovery.py
+++ b/pearrun/api/recovery.py
@@ -25,7 +25,7 @@
 from pearrun import exceptions
 from pearrun.api import entries
 from pearrun.api.ledger import read_ledger
-from pearrun.api.router import rendezvous_score
+from pearrun.api.router import compute_rendezvous_score
 from pearrun.clock import to_seconds
 
 MAX_TRIES = 5
@@ -55,10 +55,10 @@
         """Return this daemon's place among those to take a stream over."""
         own = self.journal.stream
         scores = {
-            m.stream: rendezvous_score(m.stream, stream)
-            for m in self.membership.live()
+            m.stream: compute_rendezvous_score(m.stream, stream)
+            for m in self.membership.list_live()
         }
-        mine = rendezvous_score(own, stream)
+        mine = compute_rendezvous_score(own, stream)
         return sum(
             1 for s, score in scores.items() if s != own and score > mine
         )
@@ -119,7 +119,7 @@
         for _ in range(MAX_TRIES):
             ledger = await read_ledger(self.log, stream)
             if ledger.emptied:
-                self.membership.forget(stream)
+                self.membership.remove(stream)
                 return None
             holder = self.membership.find(ledger.sealed_by)
             held = holder is not None and not self.membership.is_dead(holder)
@@ -157,6 +157,6 @@
         for request in owed:
             self.adopt(request, ledger.progress.get(request.id))
         self.adopted += len(owed)
-        self.membership.forget(stream)
+        self.membership.remove(stream)
         logger.info('took over a journal', stream=stream, requests=len(owed))
         return len(owed)
--- a/pearrun/api/router.py
+++ b/pearrun/api/router.py
@@ -52,17 +52,17 @@
     """Each endpoint in turn."""
 
 
-def seed_of(key):
+def compute_seed(key):
     """Return the seed with which a key's scores are drawn."""
     return xxhash.xxh3_64_intdigest(key.encode('utf-8', 'surrogatepass'))
 
 
-def rendezvous_score(name, key):
+def compute_rendezvous_score(name, key):
     """Return the rendezvous-hash weight of a name for a key."""
-    return score(name, seed_of(key))
+    return compute_score(name, compute_seed(key))
 
 
-def score(name, seed):
+def compute_score(name, seed):
     """Return the rendezvous-hash weight of a name for a key's seed."""
     return xxhash.xxh3_64_intdigest(name.encode(), seed)
 
@@ -74,13 +74,13 @@
     the first one that is at most ``slack`` requests busier than the
     lightest is taken, so that a hot prefix spreads over few endpoints.
     """
-    seed = seed_of(prompt[:PREFIX_CHARS])
+    seed = compute_seed(prompt[:PREFIX_CHARS])
     limit = min(e.load for e in pool) + slack
     near = [e for e in pool if e.load <= limit]
-    return max(near, key=lambda e: score(e.id, seed))
+    return max(near, key=lambda e: compute_score(e.id, seed))
 
 
-def policy_of(service):
+def build_policy(service):
     """Return the routing policy that a service's settings ask for.
 
     :param service: a :class:`ServiceSettings`.
@@ -113,10 +113,10 @@
         self.zone = zone
         self.max_load = max_load
         self.policy = policy or AffinityPolicy()
-        self.turn = itertools.count()
+        self.round_robin_counter = itertools.count()
         self.pools = {}
         self.clock = Clock()
-        self.used_ms = Millis(0)
+        self.last_used_ms = Millis(0)
 
     @classmethod
     def from_settings(cls, settings, policy=None):
@@ -128,7 +128,7 @@
             settings.host.max_load_per_endpoint,
         )
 
-    def candidates(self, service, exclude=(), everywhere=False):
+    def list_candidates(self, service, exclude=(), all_zones=False):
         """Return the live endpoints that may serve a service.
 
         :param service: the service name.
@@ -143,7 +143,7 @@
         if exclude:
             live = [e for e in live if e.id not in exclude]
             local = [e for e in local if e.id not in exclude]
-        return live if everywhere else local or live
+        return live if all_zones else local or live
 
     def build_pool(self, service):
         """Return a service's live endpoints: of all zones, and its own."""
@@ -164,7 +164,7 @@
         :raises NoEndpointError: no live endpoint serves it.
         :raises OverloadedError: all of them are at their limit.
         """
-        pool = self.candidates(service)
+        pool = self.list_candidates(service)
         if not pool:
             raise exceptions.NoEndpointError(
                 f'no live endpoint serves {service!r}', retry_after_s=1
@@ -187,11 +187,11 @@
         :returns: an :class:`Endpoint`.
         :raises NoEndpointError: no live endpoint serves the service.
         """
-        self.used_ms = self.clock.now()
+        self.last_used_ms = self.clock.now()
         policy = policy or self.policy
         reach = getattr(policy, 'reach', None)
-        everywhere = reach is not None and len(prompt) >= reach
-        pool = self.candidates(service, exclude, everywhere)
+        all_zones = reach is not None and len(prompt) >= reach
+        pool = self.list_candidates(service, exclude, all_zones)
         if not pool:
             raise exceptions.NoEndpointError(
                 f'no live endpoint serves {service!r}', retry_after_s=1
@@ -202,10 +202,10 @@
             case LeastLoadedPolicy():
                 return min(pool, key=lambda e: e.load)
             case RoundRobinPolicy():
-                return pool[next(self.turn) % len(pool)]
+                return pool[next(self.round_robin_counter) % len(pool)]
         raise TypeError(f'unknown policy {self.policy!r}')
 
-    def replace(self, settings):
+    def update_endpoints(self, settings):
         """Take over the endpoints of newly read settings.
 
         New ones join; ones no longer listed get no new work.  One that
--- a/pearrun/api/runner.py
+++ b/pearrun/api/runner.py
@@ -14,16 +14,16 @@
 from pearrun import exceptions
 from pearrun import metrics as metrics_module
 from pearrun.api import backends
-from pearrun.api.calls import OnceCaller
-from pearrun.api.crashes import JobCrashes
-from pearrun.api.handoff import move_cache
+from pearrun.api.calls import AtMostOnceCaller
+from pearrun.api.crashes import JobCrashTracker
+from pearrun.api.kvtransfer import transfer_cache
 from pearrun.api.placement import Placement
 from pearrun.backoff import Backoff
 from pearrun.clock import Clock
 from pearrun.states import BackendKind
 from pearrun.states import RequestState
 
-MOVE_TIMEOUT_MS = 2000
+MIGRATION_TIMEOUT_MS = 2000
 
 
 class Runner:
@@ -36,7 +36,7 @@
     :param journal: the daemon's :class:`Journal`.
     :param membership: the daemon's :class:`Membership`.
     :param metrics: a :class:`MetricsTable`.
-    :param crashes: the daemon's :class:`JobCrashes`.
+    :param crashes: the daemon's :class:`JobCrashTracker`.
     """
 
     def __init__(
@@ -55,15 +55,15 @@
         self.claims = claims
         self.metrics = metrics
         self.clock = Clock()
-        self.places = Placement(router)
-        self.crashes = crashes or JobCrashes()
-        self.once = OnceCaller(
+        self.placement = Placement(router)
+        self.crashes = crashes or JobCrashTracker()
+        self.at_most_once_caller = AtMostOnceCaller(
             settings,
             session,
             claims,
             journal,
             membership,
-            self.places,
+            self.placement,
             self.crashes,
         )
 
@@ -76,9 +76,9 @@
         await job.publish(state=RequestState.RUNNING)
         try:
             if service.idempotent:
-                await self.run_repeatable(job, service)
+                await self.run_idempotent(job, service)
             else:
-                await self.run_once(job, service)
+                await self.run_non_idempotent(job, service)
         except exceptions.PearrunError as exc:
             await self.fail(job, exc)
 
@@ -100,12 +100,12 @@
         )
         logger.info('request done', tokens=len(job.tokens), **job.labels())
 
-    async def run_once(self, job, service):
+    async def run_non_idempotent(self, job, service):
         """Run a non-idempotent job.
 
         Its caller is told the outcome before the log is.
         """
-        outcome = await self.once.call(job, service)
+        outcome = await self.at_most_once_caller.call(job, service)
         if outcome.failure is not None:
             await self.fail(job, outcome.failure)
         else:
@@ -116,7 +116,7 @@
                 job.idempotency_key, outcome.publish, outcome.text
             )
 
-    async def run_repeatable(self, job, service):
+    async def run_idempotent(self, job, service):
         """Run an idempotent job, moving on when an endpoint fails.
 
         :raises EndpointRefusedError: the engine refuses the request
@@ -126,17 +126,17 @@
         counters = self.metrics.of(job.service)
         tried = set()
         backoff = Backoff()
-        refuge = await self.revisit(job, service)
+        next_endpoint = await self.choose_resume_endpoint(job, service)
         while True:
             self.crashes.check_job(job)
-            endpoint = refuge or await self.places.choose(
+            endpoint = next_endpoint or await self.placement.choose(
                 job, service, tried, backoff
             )
-            refuge = None
+            next_endpoint = None
             progress = len(job.tokens)
             begun_ms = self.clock.now()
             try:
-                refuge = await self.run_on(job, service, endpoint)
+                next_endpoint = await self.run_on(job, service, endpoint)
             except exceptions.EndpointRefusedError:
                 raise
             except exceptions.BackendError as exc:
@@ -146,7 +146,7 @@
                 )
                 tried.add(endpoint.id)
                 if not isinstance(exc, exceptions.EndpointUnreachableError):
-                    check = self.crashes.note_broken(
+                    check = self.crashes.check_for_crash(
                         job,
                         endpoint,
                         self.clock.since(begun_ms),
@@ -157,7 +157,7 @@
                     backoff = Backoff()
                 await backoff.pause()
                 continue
-            if refuge is None:
+            if next_endpoint is None:
                 return
             counters.moves += 1
 
@@ -168,7 +168,7 @@
             :class:`Endpoint` to go on at because this one is being
             reclaimed.
         """
-        with self.places.occupy(job, endpoint):
+        with self.placement.track_in_flight(job, endpoint):
             match endpoint.kind:
                 case BackendKind.SERVICE:
                     text = await backends.call_service(
@@ -178,9 +178,9 @@
                     await self.finish(job, 'stop')
                     return None
                 case BackendKind.ENGINE:
-                    return await self.stream_from(job, service, endpoint)
+                    return await self.copy_stream(job, service, endpoint)
 
-    async def stream_from(self, job, service, endpoint):
+    async def copy_stream(self, job, service, endpoint):
         """Copy an engine's tokens into the job, from where it stands.
 
         :returns: ``None`` at the end, or where to go on.
@@ -196,15 +196,17 @@
                     return None
                 if index != len(job.tokens):
                     continue
-                last_ms = self.time_token(job, last_ms)
+                last_ms = self.record_token_latency(job, last_ms)
                 await job.add_token(token)
-                refuge = self.places.find_refuge(job, service, endpoint)
-                if refuge is not None:
+                next_endpoint = self.placement.find_migration_target(
+                    job, service, endpoint
+                )
+                if next_endpoint is not None:
                     break
-        await self.move(job, endpoint, refuge)
-        return refuge
+        await self.migrate(job, endpoint, next_endpoint)
+        return next_endpoint
 
-    def time_token(self, job, last_ms):
+    def record_token_latency(self, job, last_ms):
         """Record the time to a token; return the time it came.
 
         :param last_ms: when the stream's previous token came, or
@@ -214,12 +216,12 @@
         counters = self.metrics.of(job.service)
         if last_ms is not None:
             metrics_module.record(counters.itl, now - last_ms)
-            job.note_gap(now - last_ms)
+            job.update_token_interval(now - last_ms)
         elif not job.tokens:
             metrics_module.record(counters.ttft, now - job.accepted_ms)
         return now
 
-    async def revisit(self, job, service):
+    async def choose_resume_endpoint(self, job, service):
         """Return where a job taken over is best continued.
 
         Its cache is where it ran last: there, if that endpoint stays;
@@ -227,18 +229,18 @@
 
         :returns: an :class:`Endpoint`, or ``None`` for no preference.
         """
-        last = self.places.last_engine(job)
-        if last is None or self.places.is_live(last):
+        last = self.placement.find_last_engine(job)
+        if last is None or self.placement.accepts_new_work(last):
             return last
-        target = self.places.find(job, service)
+        target = self.placement.find(job, service)
         if target is not None:
-            await self.move(job, last, target)
+            await self.migrate(job, last, target)
         return target
 
-    async def move(self, job, source, target):
+    async def migrate(self, job, source, target):
         """Stop a stream at its old engine and carry its cache along."""
         if self.settings.host.move_cache:
-            await move_cache(
-                self.session, job, source, target, MOVE_TIMEOUT_MS
+            await transfer_cache(
+                self.session, job, source, target, MIGRATION_TIMEOUT_MS
             )
         await backends.cancel_stream(self.session, source, job)
--- a/pearrun/api/departure.py
+++ b/pearrun/api/shutdown.py
@@ -13,7 +13,7 @@
 READERS_POLL_MS = 50
 
 
-class Departure:
+class GracefulShutdown:
     """Finishes a daemon's work, or hands it over, and says so.
 
     :param settings: the daemon's whole :class:`Settings`.
@@ -37,15 +37,15 @@
         """Take no more requests, and let the other daemons know."""
         self.dispatcher.accepting = False
         self.state = MemberState.STOPPING
-        self.membership.beat_now.set()
+        self.membership.heartbeat_requested.set()
 
-    async def finish_within(self, patience_ms):
+    async def drain_or_hand_over(self, timeout_ms):
         """Let running jobs end; hand over what does not end in time.
 
-        :param patience_ms: how long to wait for them.
+        :param timeout_ms: how long to wait for them.
         """
         try:
-            async with asyncio.timeout(to_seconds(patience_ms)):
+            async with asyncio.timeout(to_seconds(timeout_ms)):
                 await self.dispatcher.drain()
         except TimeoutError:
             logger.warning('handing unfinished requests over')
@@ -59,23 +59,23 @@
         """
         logger.info('daemon stopping; finishing in-flight requests')
         self.begin()
-        await self.finish_within(self.settings.host.drain_timeout_ms)
+        await self.drain_or_hand_over(self.settings.host.drain_timeout_ms)
         try:
             async with asyncio.timeout(to_seconds(FLUSH_MS)):
                 await self.journal.flush()
         except TimeoutError:
             logger.warning('journal not written to its end')
         self.state = MemberState.LEFT
-        await self.membership.beat(extra=True)
-        await self.wait_for_readers()
+        await self.membership.send_heartbeat(extra=True)
+        await self.wait_for_relayed_answers()
 
-    async def wait_for_readers(self):
+    async def wait_for_relayed_answers(self):
         """Wait until no caller is being answered through this host."""
         deadline = self.clock.now() + self.settings.host.drain_timeout_ms
         while self.lookup.followers and self.clock.now() < deadline:
             await asyncio.sleep(to_seconds(READERS_POLL_MS))
 
-    def on_reclaim(self, at_ms):
+    def handle_reclaim_notice(self, at_ms):
         """Act on the announced reclaim of this daemon's own host.
 
         :param at_ms: when the host goes away.
@@ -83,12 +83,12 @@
         if self.state == MemberState.LIVE:
             logger.warning('this host is being reclaimed')
             self.begin()
-            self.leaving = asyncio.create_task(self.leave_by(at_ms))
+            self.leaving = asyncio.create_task(self.drain_before(at_ms))
 
-    async def leave_by(self, at_ms):
+    async def drain_before(self, at_ms):
         """Hand unfinished requests over before this host goes away."""
         left_ms = at_ms - self.clock.now()
-        patience_ms = max(0, left_ms // 2, left_ms - HANDOVER_MS)
-        await self.finish_within(patience_ms)
+        timeout_ms = max(0, left_ms // 2, left_ms - HANDOVER_MS)
+        await self.drain_or_hand_over(timeout_ms)
         self.state = MemberState.LEFT
-        self.membership.beat_now.set()
+        self.membership.heartbeat_requested.set()
--- a/pearrun/api/structures.py
+++ b/pearrun/api/structures.py
@@ -16,7 +16,7 @@
 from pearrun.states import EndpointState
 from pearrun.states import RequestState
 
-GAP_WEIGHT = 0.2
+INTERVAL_WEIGHT = 0.2
 
 
 @dataclasses.dataclass
@@ -121,7 +121,7 @@
         )
 
     @property
-    def settled(self):
+    def ended_here(self):
         """Whether nothing more will happen to the job on this host."""
         return self.finished or self.handed_over
 
@@ -137,9 +137,9 @@
             'service': self.service,
         }
 
-    def note_gap(self, gap_ms):
+    def update_token_interval(self, gap_ms):
         """Let the time between two tokens into the running mean."""
-        self.token_ms += GAP_WEIGHT * (gap_ms - self.token_ms)
+        self.token_ms += INTERVAL_WEIGHT * (gap_ms - self.token_ms)
 
     async def publish(self, **changes):
         """Update fields and wake everyone waiting on the job."""
@@ -154,11 +154,11 @@
             self.tokens.append(token)
             self.changed.notify_all()
 
-    async def wait_beyond(self, count):
+    async def wait_for_tokens(self, count):
         """Wait for more than ``count`` tokens or the job's end here."""
         async with self.changed:
             await self.changed.wait_for(
-                lambda: len(self.tokens) > count or self.settled
+                lambda: len(self.tokens) > count or self.ended_here
             )
 
     def to_body(self):
--- a/pearrun/api/pace.py
+++ b/pearrun/api/tokenbucket.py
@@ -8,38 +8,38 @@
 
 from pearrun.clock import Clock
 
-JOURNAL_SHARE = 0.5
-BURST = 8
+JOURNAL_RATE_FRACTION = 0.5
+BURST_APPENDS = 8
 
 
-class Pace:
+class TokenBucket:
     """A token bucket for one daemon's journal appends.
 
     :param appends_per_s: what the log service takes a second.
-    :param count_writers: returns how many daemons are alive.
+    :param count_daemons: returns how many daemons are alive.
     """
 
-    def __init__(self, appends_per_s, count_writers):
+    def __init__(self, appends_per_s, count_daemons):
         self.appends_per_s = appends_per_s
-        self.count_writers = count_writers
+        self.count_daemons = count_daemons
         self.clock = Clock()
-        self.tokens = BURST
-        self.filled_ms = self.clock.now()
+        self.tokens = BURST_APPENDS
+        self.refilled_ms = self.clock.now()
 
     @property
-    def gap_ms(self):
+    def interval_ms(self):
         """The mean pause between this daemon's appends."""
-        writers = max(1, self.count_writers())
-        return 1000 * writers / (self.appends_per_s * JOURNAL_SHARE)
+        writers = max(1, self.count_daemons())
+        return 1000 * writers / (self.appends_per_s * JOURNAL_RATE_FRACTION)
 
-    def take(self):
+    def reserve(self):
         """Take an append from the bucket.
 
         :returns: milliseconds to wait before making it.
         """
         now = self.clock.now()
-        refill = (now - self.filled_ms) / self.gap_ms
-        self.tokens = min(BURST, self.tokens + refill)
-        self.filled_ms = now
+        refill = (now - self.refilled_ms) / self.interval_ms
+        self.tokens = min(BURST_APPENDS, self.tokens + refill)
+        self.refilled_ms = now
         self.tokens -= 1
-        return max(0.0, -self.tokens * self.gap_ms)
+        return max(0.0, -self.tokens * self.interval_ms)
--- a/tests/builders.py
+++ b/tests/builders.py
@@ -35,7 +35,7 @@
 # Processor time of one example of a property; 0.001 to 0.009 s, measured.
 # Time of day would count other processes' work too: 0.46 s and 0.55 s of it
 # beside 20 of them.
-MOST_CPU_S = 0.2
+MAX_CPU_S = 0.2
 
 
 # Below the range from which the kernel takes clients' own ports.
--- a/tests/test_calls.py
+++ b/tests/test_calls.py
@@ -57,7 +57,7 @@
     async def scenario(log, job, running):
         logs.append(log)
         async with asyncio.timeout(1):
-            await job.wait_beyond(0)
+            await job.wait_for_tokens(0)
         assert job.state == RequestState.FAILED
         assert job.failure.code == 1502
         log.down = False
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -44,9 +44,9 @@
         log.down = False
 
     asyncio.run(scenario())
-    assert time.process_time() - began_s < builders.MOST_CPU_S
+    assert time.process_time() - began_s < builders.MAX_CPU_S
     assert len(winners) <= 1
-    held = log.values(claims_module.stream_of('alarme-svc/k'))
+    held = log.values(claims_module.get_claim_stream('alarme-svc/k'))
     if winners:
         assert held[0]['holder'] == f'd{winners[0]}'
 
@@ -69,7 +69,7 @@
     """Else the call would never be made: an alarm lost."""
     log = builders.FakeLog()
     key_claims = claims_module.KeyClaims(log)
-    key, attempt = 'alarme-svc/k', claims_module.new_attempt()
+    key, attempt = 'alarme-svc/k', claims_module.generate_attempt_id()
 
     async def scenario():
         log.lose_answers, log.down_after_loss = 1, True
@@ -105,7 +105,7 @@
 
     async def scenario():
         await key_claims.claim(key, 'requests.a')
-        log.expire(claims_module.stream_of(key), 1)
+        log.expire(claims_module.get_claim_stream(key), 1)
         await key_claims.claim(key, 'requests.b')
 
     with pytest.raises(exceptions.OutcomeUnknownError):
--- a/tests/test_dispatcher.py
+++ b/tests/test_dispatcher.py
@@ -94,7 +94,7 @@
 def test_hand_over_leaves_the_tokens_on_the_log():
     async def scenario(log, dispatcher):
         job = await submit(dispatcher)
-        await job.wait_beyond(2)
+        await job.wait_for_tokens(2)
         await dispatcher.hand_over()
         return job, await read_ledger(log, dispatcher.journal.stream)
 
@@ -106,13 +106,13 @@
 def test_adopted_job_goes_on_behind_its_tokens():
     async def scenario(log, dispatcher):
         job = await submit(dispatcher)
-        await job.wait_beyond(2)
+        await job.wait_for_tokens(2)
         await dispatcher.hand_over()
         ledger = await read_ledger(log, dispatcher.journal.stream)
         entry = ledger.unfinished[job.id]
         dispatcher.adopt(entry, ledger.progress[job.id])
         adopted = dispatcher.jobs[job.id]
-        await adopted.wait_beyond(7)
+        await adopted.wait_for_tokens(7)
         return adopted
 
     adopted = play(scenario)
@@ -156,7 +156,7 @@
     async def scenario(log, dispatcher):
         log.down = True
         body = CompletionBody(model='pearrun-oficina', prompt='p')
-        job = await dispatcher.submit(body, promise=False)
+        job = await dispatcher.submit(body, require_durable=False)
         told = job.durable
         log.down = False
         await asyncio.sleep(0.1)
--- a/tests/test_job_crashes.py
+++ b/tests/test_job_crashes.py
@@ -7,7 +7,7 @@
 from pearrun import exceptions
 from pearrun.api import backends
 from pearrun.api.claims import KeyClaims
-from pearrun.api.crashes import JobCrashes
+from pearrun.api.crashes import JobCrashTracker
 from pearrun.api.journal import Journal
 from pearrun.api.router import Router
 from pearrun.api.runner import Runner
@@ -48,7 +48,7 @@
     for number in numbers:
         engine = builders.endpoint(number)
         engine.url = f'http://127.0.0.1:{builders.free_port()}'
-        await crashes.note_broken(make_job(), engine, 5, False)
+        await crashes.check_for_crash(make_job(), engine, 5, False)
 
 
 def test_a_job_that_crashes_engines_crashes_them_all(monkeypatch):
@@ -102,13 +102,13 @@
 
 def test_a_request_that_crashed_engines_is_refused_by_every_daemon():
     async def main():
-        daemons = [JobCrashes() for _ in range(3)]
+        daemons = [JobCrashTracker() for _ in range(3)]
         for number, daemon in enumerate(daemons):
             await crash_engines(daemon, [number])
             for other in daemons:
                 other.receive(daemon.describe())
         # One that starts now reads the beats of daemons that have ended.
-        daemons.append(JobCrashes())
+        daemons.append(JobCrashTracker())
         daemons[-1].receive(daemons[0].describe())
         for daemon in daemons:
             with pytest.raises(exceptions.QuarantinedError) as caught:
@@ -142,6 +142,6 @@
 
 
 def test_malformed_suspects_in_a_beat_are_left_aside():
-    crashes = JobCrashes()
+    crashes = JobCrashTracker()
     crashes.receive([['f', None, [['e', 'no number', 1, False]]], 7])
     assert not crashes.quarantine.known.suspects
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -8,7 +8,7 @@
 from hypothesis import strategies as st
 
 from pearrun import exceptions
-from pearrun.api.members import BEATS_PER_S
+from pearrun.api.members import MAX_HEARTBEATS_PER_S
 from pearrun.api.members import Member
 from pearrun.api.members import Membership
 from pearrun.states import MemberState
@@ -52,7 +52,7 @@
             kind, number = step.split()
             host = hosts[int(number)]
             if kind == 'beat':
-                if await host.beat():
+                if await host.send_heartbeat():
                     landed.append(int(number))
                 continue
             try:
@@ -80,9 +80,9 @@
     watcher, other = membership(log, 0), membership(log, 1)
 
     async def scenario():
-        await other.beat()
+        await other.send_heartbeat()
         for _ in range(10):
-            await watcher.beat(extra=True)
+            await watcher.send_heartbeat(extra=True)
         await watcher.poll_once()
 
     asyncio.run(scenario())
@@ -91,15 +91,15 @@
 
 def test_later_run_of_the_same_host_replaces_the_earlier():
     watcher = membership(builders.FakeLog(), 0)
-    watcher.receive(member(1, run=1).to_beat())
-    watcher.receive(member(1, run=2).to_beat())
+    watcher.receive(member(1, run=1).to_heartbeat())
+    watcher.receive(member(1, run=2).to_heartbeat())
     assert watcher.is_dead(watcher.find('requests.h1.1'))
     assert not watcher.is_dead(watcher.find('requests.h1.2'))
 
 
 def test_host_that_says_it_left_is_dead_at_once():
     watcher = membership(builders.FakeLog(), 0)
-    watcher.receive(member(1, state=MemberState.LEFT).to_beat())
+    watcher.receive(member(1, state=MemberState.LEFT).to_heartbeat())
     assert watcher.is_dead(watcher.find('requests.h1.1'))
 
 
@@ -109,9 +109,9 @@
     began_s = time.process_time()
     watcher = membership(builders.FakeLog(), 0)
     for number in range(size):
-        watcher.receive(member(number).to_beat())
-    assert time.process_time() - began_s < builders.MOST_CPU_S
-    assert size * 1000 / watcher.pause_ms <= BEATS_PER_S + 1
+        watcher.receive(member(number).to_heartbeat())
+    assert time.process_time() - began_s < builders.MAX_CPU_S
+    assert size * 1000 / watcher.pause_ms <= MAX_HEARTBEATS_PER_S + 1
 
 
 def test_poll_that_overlaps_another_counts_no_beat_twice():
@@ -120,10 +120,10 @@
     watcher, other = membership(log, 0), membership(log, 1)
 
     async def scenario():
-        await other.beat()
+        await other.send_heartbeat()
         await watcher.poll_once()
         for _ in range(watcher.orphan_beats - 1):
-            await watcher.beat()
+            await watcher.send_heartbeat()
         await asyncio.gather(*(watcher.poll_once() for _ in range(3)))
 
     asyncio.run(scenario())
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -30,11 +30,11 @@
 
 
 class FakeMembership:
-    def live(self):
+    def list_live(self):
         return []
 
 
-class Keeper(orders_module.OrderKeeper):
+class Keeper(orders_module.OrderReconciler):
     """An order keeper that talks to a fake engine."""
 
     def __init__(self, log, engine):
@@ -92,7 +92,7 @@
                 await config.publish(log, STREAM, tree_with(f'm{number}'))
             elif step.startswith('keep'):
                 keeper = keepers[step[-1]]
-                await keeper.try_keep(keeper.endpoint)
+                await keeper.try_reconcile(keeper.endpoint)
 
     asyncio.run(scenario())
     fencing = [o.fencing for o in engine.taken]
@@ -112,12 +112,12 @@
     async def overtake():
         paused.before_send = None
         await config.publish(log, STREAM, tree_with('new'))
-        await other.keep(other.endpoint)
+        await other.reconcile(other.endpoint)
 
     async def scenario():
         await config.publish(log, STREAM, tree_with('old'))
         paused.before_send = overtake
-        await paused.try_keep(paused.endpoint)
+        await paused.try_reconcile(paused.endpoint)
 
     asyncio.run(scenario())
     return engine, other, [o.value for o in engine.taken]
@@ -126,7 +126,7 @@
 def test_paused_keepers_stale_order_is_put_right_on_an_unchecking_engine():
     engine, other, taken = play_paused_keeper(checks=False)
     assert taken == ['new', 'old']
-    asyncio.run(other.keep(other.endpoint))
+    asyncio.run(other.reconcile(other.endpoint))
     assert engine.taken[-1].value == 'new'
 
 
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -8,10 +8,10 @@
 
 from pearrun.api import config
 from pearrun.api import peers as peers_module
-from pearrun.api.pace import BURST
-from pearrun.api.pace import JOURNAL_SHARE
-from pearrun.api.pace import Pace
 from pearrun.api.router import Router
+from pearrun.api.tokenbucket import BURST_APPENDS
+from pearrun.api.tokenbucket import JOURNAL_RATE_FRACTION
+from pearrun.api.tokenbucket import TokenBucket
 from pearrun.clock import Clock
 from tests import builders
 
@@ -74,11 +74,11 @@
 @given(writers=st.integers(1, 320), wanted=st.integers(1, 300))
 def test_daemons_together_keep_to_the_journals_share(writers, wanted):
     """Beyond its burst, a daemon waits its gap for each append."""
-    pace = Pace(400, lambda: writers)
+    pace = TokenBucket(400, lambda: writers)
     pace.clock = StandingClock()
-    pace.filled_ms = pace.clock.now()
-    waits = [pace.take() for _ in range(wanted)]
-    gap = 1000 * writers / (400 * JOURNAL_SHARE)
+    pace.refilled_ms = pace.clock.now()
+    waits = [pace.reserve() for _ in range(wanted)]
+    gap = 1000 * writers / (400 * JOURNAL_RATE_FRACTION)
     assert waits == sorted(waits)
-    expected = max(0, wanted - BURST) * gap
+    expected = max(0, wanted - BURST_APPENDS) * gap
     assert waits[-1] == pytest.approx(expected)
