--- a/pearrun/api/backends.py
+++ b/pearrun/api/backends.py
@@ -1,4 +1,4 @@
-"""Clients of the back ends: model engines and plain services."""
+"""HTTP clients of the back ends: model engines and plain services."""
 
 import asyncio
 import contextlib
@@ -10,23 +10,26 @@
 from pearrun.api.watchdog import Watchdog
 from pearrun.clock import to_seconds
 
-CONNECT_S = 2
-STREAM_TIMEOUT = aiohttp.ClientTimeout(total=None, sock_connect=CONNECT_S)
-LOAD_TIMEOUT = aiohttp.ClientTimeout(total=CONNECT_S)
+CONNECT_TIMEOUT_S = 2
+STREAM_TIMEOUT = aiohttp.ClientTimeout(
+    total=None, sock_connect=CONNECT_TIMEOUT_S
+)
+CONTROL_TIMEOUT = aiohttp.ClientTimeout(total=CONNECT_TIMEOUT_S)
 
 
 async def wait_for_response(session, endpoint, call, host):
-    """Wait until an engine begins to answer, however long its queue.
+    """Wait for the headers of an engine's response.
 
-    Silence may mean a queue or a connection that is lost for good, so
-    after each ``stall_ms`` of it the engine is asked for its load on
-    another connection; an engine that does not answer is given up.
+    A missing response may mean a long queue at the engine or a dead
+    connection.  To tell them apart, the engine's load is requested on
+    another connection after each ``stall_ms`` without a response; if
+    that request fails too, the engine is taken as failed.
 
     :param call: the awaitable request.
     :param host: the daemon's :class:`HostSettings`.
     :returns: the :class:`aiohttp.ClientResponse`.
-    :raises BackendError: the engine is gone, or took longer than
-        ``first_token_ms``.
+    :raises BackendError: the engine did not answer the load request, or
+        sent no response within ``first_token_ms``.
     """
     task = asyncio.ensure_future(call)
     stall_s = to_seconds(host.stall_ms)
@@ -39,23 +42,25 @@
             waited_s += stall_s
             if waited_s >= to_seconds(host.first_token_ms):
                 raise exceptions.BackendError(
-                    f'{endpoint.id} did not begin in {waited_s:g} s'
+                    f'{endpoint.id} sent no response within {waited_s:g} s'
                 )
             if await read_load(session, endpoint) is None:
-                raise exceptions.BackendError(f'{endpoint.id} is silent')
+                raise exceptions.BackendError(
+                    f'{endpoint.id} did not answer a load request'
+                )
     finally:
         if not task.done():
             task.cancel()
 
 
 async def read_lines(response, stall_ms):
-    """Iterate over an answer's lines as they come; silence ends it.
+    """Iterate over the lines of a response as they arrive.
 
-    :raises TimeoutError: no line came for ``stall_ms``.
+    :raises TimeoutError: no line arrived for ``stall_ms``.
     """
-    silence = TimeoutError(f'no token for {stall_ms} ms')
+    timeout = TimeoutError(f'no token for {stall_ms} ms')
     watchdog = Watchdog(
-        to_seconds(stall_ms), lambda: response.content.set_exception(silence)
+        to_seconds(stall_ms), lambda: response.content.set_exception(timeout)
     )
     try:
         async for raw in response.content:
@@ -66,20 +71,20 @@
 
 
 async def stream_tokens(session, endpoint, job, priority, host):
-    """Stream a job's tokens from an engine, behind those it has.
+    """Stream a job's tokens from an engine, after those the job has.
 
     :param session: an :class:`aiohttp.ClientSession`.
     :param endpoint: the :class:`Endpoint` chosen by the router.
     :param job: the :class:`Job` to run.
     :param priority: the service's :class:`Priority`.
     :param host: the daemon's :class:`HostSettings`; after ``stall_ms``
-        of silence the connection is given up, for it may never come
-        back while a new one works.
+        without data the connection is closed, because it may be dead
+        although new connections to the engine work.
     :returns: an async iterator of ``(index, token)``; the last item is
         ``(None, finish_reason)``.
     :raises EndpointRefusedError: the engine refuses the request (4xx).
-    :raises EndpointUnreachableError: no connection stood.
-    :raises BackendError: the engine failed or the stream broke.
+    :raises EndpointUnreachableError: no connection was established.
+    :raises BackendError: the engine failed, or the stream broke off.
     """
     body = {
         'request_id': job.id,
@@ -115,7 +120,7 @@
                     yield int(line['index']), str(line['token'])
     except aiohttp.ClientConnectorError as exc:
         raise exceptions.EndpointUnreachableError(
-            f'{endpoint.id} took no connection: {exc!r}'
+            f'cannot connect to {endpoint.id}: {exc!r}'
         ) from exc
     except (aiohttp.ClientError, ValueError, TimeoutError) as exc:
         raise exceptions.BackendError(
@@ -125,12 +130,15 @@
 
 
 async def cancel_stream(session, endpoint, job):
-    """Ask an engine to stop a job's stream; errors are ignored."""
+    """Request that an engine stop a job's stream; errors are ignored.
+
+    :returns: whether the engine responded.
+    """
     try:
         async with session.post(
             f'{endpoint.url}/v1/cancel',
             json={'request_id': job.id},
-            timeout=LOAD_TIMEOUT,
+            timeout=CONTROL_TIMEOUT,
         ):
             return True
     except (aiohttp.ClientError, OSError):
@@ -141,7 +149,8 @@
     """Make one call to a plain service.
 
     :returns: the service's result text.
-    :raises EndpointUnreachableError: no connection stood: it has not run.
+    :raises EndpointUnreachableError: no connection was established, so
+        the call has not run.
     :raises BackendError: the call failed and may have run; a
         non-idempotent call is not repeated.
     """
@@ -151,7 +160,7 @@
             f'{endpoint.url}/v1/call',
             json=body,
             timeout=aiohttp.ClientTimeout(
-                total=to_seconds(host.stall_ms), sock_connect=CONNECT_S
+                total=to_seconds(host.stall_ms), sock_connect=CONNECT_TIMEOUT_S
             ),
         ) as r:
             data = await r.json(content_type=None)
@@ -162,7 +171,7 @@
             return str(data['result'])
     except aiohttp.ClientConnectorError as exc:
         raise exceptions.EndpointUnreachableError(
-            f'{endpoint.id} took no connection: {exc!r}'
+            f'cannot connect to {endpoint.id}: {exc!r}'
         ) from exc
     except (aiohttp.ClientError, ValueError, TimeoutError) as exc:
         raise exceptions.BackendError(
@@ -171,10 +180,15 @@
 
 
 async def read_load(session, endpoint):
-    """Read an engine's (lagging) load report; ``None`` on failure."""
+    """Read an engine's load.
+
+    The engine reports it with a delay.
+
+    :returns: active plus waiting requests, or ``None`` on failure.
+    """
     try:
         async with session.get(
-            f'{endpoint.url}/v1/load', timeout=LOAD_TIMEOUT
+            f'{endpoint.url}/v1/load', timeout=CONTROL_TIMEOUT
         ) as response:
             data = await response.json(content_type=None)
             return int(data['active']) + int(data['waiting'])
--- a/pearrun/api/calls.py
+++ b/pearrun/api/calls.py
@@ -1,4 +1,4 @@
-"""Non-idempotent calls: made at most once, whoever retries them."""
+"""Non-idempotent calls: run at most once, also when requests are retried."""
 
 import dataclasses
 
@@ -11,11 +11,11 @@
 
 @dataclasses.dataclass(frozen=True)
 class CallOutcome:
-    """What became of a call.
+    """The result of a call.
 
-    ``failure`` is set when it may have run and gave no answer.
-    ``publish`` is what the log is to be told, ``None`` when another
-    host made the call.
+    ``failure`` is set when the call may have run but returned no
+    result.  ``publish`` is the kind of outcome to append to the log;
+    ``None`` when another host made the call.
     """
 
     text: str | None = None
@@ -24,14 +24,14 @@
 
 
 class AtMostOnceCaller:
-    """Claims keys and makes their calls.
+    """Claims idempotency keys and makes their calls.
 
     :param settings: the daemon's whole :class:`Settings`.
     :param session: an :class:`aiohttp.ClientSession` for back ends.
     :param claims: a :class:`KeyClaims`.
     :param journal: the daemon's :class:`Journal`.
     :param membership: the daemon's :class:`Membership`.
-    :param places: a :class:`Placement` that picks endpoints.
+    :param placement: a :class:`Placement` that picks endpoints.
     :param crashes: the daemon's :class:`JobCrashTracker`.
     """
 
@@ -55,13 +55,15 @@
         self.clock = Clock()
 
     async def call(self, job, service):
-        """Make a job's call, or learn what became of it elsewhere.
-
-        :returns: a :class:`CallOutcome`; its ``publish`` has not been
-            done yet, so that no caller waits for the log.
-        :raises IdempotencyMismatchError: the key belongs to another
-            request.
-        :raises OutcomeUnknownError: another host's call may have run.
+        """Make a job's call, or wait for its outcome on another host.
+
+        :returns: a :class:`CallOutcome`; the caller of this method
+            publishes it, after it has answered the client, so that the
+            client does not wait for the log.
+        :raises IdempotencyMismatchError: the key was used for a
+            different request.
+        :raises OutcomeUnknownError: the call may have run on another
+            host.
         :raises CapacityError: another host is still making the call.
         """
         key = job.idempotency_key
@@ -88,7 +90,7 @@
         return CallOutcome(text, publish=claims_module.ANSWERED)
 
     async def claim(self, key, digest):
-        """Claim a key, however long the log is down.
+        """Claim a key; retries until the log is available.
 
         :returns: a :class:`Claim`.
         """
@@ -103,9 +105,9 @@
                 await backoff.pause()
 
     async def make_call(self, job, service):
-        """Make a claimed call; only one that cannot have run is retried.
+        """Make a claimed call; retries only when it cannot have run.
 
-        :returns: the service's answer.
+        :returns: the service's result text.
         :raises BackendError: the call may have run.
         """
         tried = set()
@@ -114,7 +116,7 @@
             endpoint = await self.placement.choose(
                 job, service, tried, backoff
             )
-            begun_ms = self.clock.now()
+            started_ms = self.clock.now()
             try:
                 with self.placement.track_in_flight(job, endpoint):
                     return await backends.call_service(
@@ -124,6 +126,6 @@
                 tried.add(endpoint.id)
                 await backoff.pause()
             except exceptions.BackendError:
-                ran_ms = self.clock.since(begun_ms)
+                ran_ms = self.clock.since(started_ms)
                 self.crashes.check_for_crash(job, endpoint, ran_ms, False)
                 raise
--- a/pearrun/api/claims.py
+++ b/pearrun/api/claims.py
@@ -1,17 +1,18 @@
-"""Claims on idempotency keys, agreed through the platform log.
+"""Claims on idempotency keys, arbitrated by the platform log.
 
 A non-idempotent call (a renewal charge, an alarm acknowledgement)
-must run at most once, whichever entry hosts it reaches and whoever
-takes over whose requests.  Each key has its own stream,
-``key.<digest>``.  Offset 0 is the right to make the call: a daemon
-appends there, with compare-and-append, right before calling the
-service, and only one append can land.  Offset 1 is the outcome: the
-answer, or ``unknown`` when the daemon that won is gone and may have
-made the call.  Nobody ever calls on an ``unknown`` key again.
-
-A claim names the attempt that wrote it, not the request: the same
-request taken over by another host is another attempt and must not
-take the first one's claim for its own.
+must run at most once, whichever entry hosts receive it and whichever
+host takes over its request.  Each key has its own stream,
+``key.<digest>``.  The record at offset 0 is the claim: a daemon
+appends it with compare-and-append right before it calls the service,
+so only one daemon can succeed.  The record at offset 1 is the outcome:
+the answer, or ``unknown`` when the daemon with the claim is dead and
+may have made the call.  A call whose outcome is ``unknown`` is never
+repeated.
+
+A claim identifies the attempt that wrote it, not the request: when
+another host takes a request over, that is another attempt, which must
+not mistake the first one's claim for its own.
 """
 
 import asyncio
@@ -33,10 +34,11 @@
 
 @dataclasses.dataclass(frozen=True)
 class Claim:
-    """Who may make a key's call, and the outcome once known.
+    """A key's claim, and the outcome of its call once known.
 
-    ``holder`` is the journal stream of the daemon that won, and
-    ``digest`` the request body's hash as that daemon saw it.
+    ``holder`` is the journal stream of the daemon that has the claim,
+    and ``digest`` the hash of the prompt that it received.  ``won``
+    says whether the attempt that asks is the one with the claim.
     """
 
     holder: str
@@ -47,7 +49,7 @@
 
 
 def get_claim_stream(key):
-    """Return the stream name that holds a scoped key's claim."""
+    """Return the name of the stream that holds a scoped key's claim."""
     return f'key.{compute_digest(key)}'
 
 
@@ -62,7 +64,7 @@
 
 
 class KeyClaims:
-    """Claims keys and publishes outcomes on the log service.
+    """Claims keys and publishes outcomes through the log service.
 
     :param log: a :class:`LogClient`.
     """
@@ -72,20 +74,22 @@
         self.clock = Clock()
 
     async def claim(self, key, holder, digest='', attempt=None):
-        """Claim a key, to make its call right afterwards.
+        """Claim a key; the caller makes its call right afterwards.
 
-        A lost answer is settled by claiming again: the second append
-        conflicts, and offset 0 says whose attempt stands there.
+        When the response to an append is lost, the append is repeated:
+        the second one conflicts if the first one succeeded, and the
+        record at offset 0 identifies the attempt with the claim.
 
         :param key: the scoped idempotency key.
         :param holder: this daemon's journal stream.
-        :param digest: hash of the request, to catch a reused key.
-        :param attempt: a unique id, the same one when a claim that
-            failed is tried again for the same run of the request.
+        :param digest: hash of the request, to detect a key that is reused
+            for another request.
+        :param attempt: a unique id; the same one when a failed claim is
+            retried for the same run of the request.
         :returns: a :class:`Claim`; ``won`` is true when the caller may
             make the call.
-        :raises JournalUnavailableError: the log cannot say; the call
-            must not be made by this attempt.
+        :raises JournalUnavailableError: it is unknown whether the claim
+            was written; this attempt must not make the call.
         """
         attempt = attempt or generate_attempt_id()
         value = {
@@ -105,13 +109,13 @@
             except exceptions.AmbiguousAppendError:
                 continue
         raise exceptions.JournalUnavailableError(
-            'claim not settled', retry_after_s=1
+            'the log did not confirm the claim', retry_after_s=1
         )
 
     async def read(self, key, attempt=None):
-        """Read a key's stream.
+        """Read a key's claim and outcome.
 
-        :returns: a :class:`Claim`, or ``None`` when nobody claimed it.
+        :returns: a :class:`Claim`, or ``None`` if there is no claim.
         :raises OutcomeUnknownError: the claim is older than the log's
             retention.
         """
@@ -119,7 +123,7 @@
             records, _ = await self.log.read(get_claim_stream(key), 0, 2)
         except exceptions.ExpiredOffsetError as exc:
             raise exceptions.OutcomeUnknownError(
-                'key was used longer ago than the log keeps records'
+                'this Idempotency-Key is older than the retention of the log'
             ) from exc
         if not records:
             return None
@@ -134,9 +138,9 @@
         )
 
     async def publish(self, key, kind, text=None):
-        """Publish a claimed key's outcome, however long the log is down.
+        """Publish a claimed key's outcome; retries until the log is up.
 
-        The first outcome on the log stands; later ones are dropped.
+        The first outcome on the log is final; later ones are dropped.
         """
         value = {'kind': kind, 'text': text}
         backoff = Backoff()
@@ -154,13 +158,13 @@
     async def wait_outcome(self, key, timeout_ms, is_dead):
         """Wait for the outcome of a call that another daemon makes.
 
-        :param timeout_ms: how long to wait for a live holder.
-        :param is_dead: tells whether a holder is dead; when it is, the
+        :param timeout_ms: how long to wait while the holder is alive.
+        :param is_dead: returns whether a holder is dead; if it is, the
             call may or may not have run, and ``unknown`` is published.
         :returns: the answer text.
         :raises OutcomeUnknownError: the call may have run.
-        :raises CapacityError: no outcome within ``timeout_ms``; come
-            back later.
+        :raises CapacityError: no outcome within ``timeout_ms``; the
+            client may retry later.
         """
         started = self.clock.now()
         while self.clock.since(started) < timeout_ms:
--- a/pearrun/api/crashes.py
+++ b/pearrun/api/crashes.py
@@ -1,6 +1,6 @@
-"""Jobs under which endpoints crash, and requests refused because of them.
+"""Detection of jobs that crash endpoints, and refusal of their requests.
 
-An endpoint keeps its id when it is started again, so a crash is known by the
+An endpoint keeps its id across restarts, so a crash is identified by the
 endpoint and the time.
 """
 
@@ -20,19 +20,23 @@
 from pearrun.shared.quarantine import Quarantine
 from pearrun.states import EndpointState
 
-# Broken jobs of one endpoint within this time are of one crash.
+# Jobs that fail on one endpoint within this time count as one crash.
 CRASH_WINDOW_MS = 2000
-# How long a job waits to know of a crash before it goes on elsewhere.
+# How long a failed job waits for the crash check before it is retried on
+# another endpoint.
 CRASH_CHECK_WAIT_MS = 50
-# Port of an endpoint whose URL names none.
+# Port of an endpoint whose URL has none.
 HTTP_PORT = 80
-# Suspects in a beat, and crashes whose times are remembered.
+# Limits of the suspects in one heartbeat, and of the crash times kept.
 MAX_SENT_SUSPECTS = 16
 MAX_TRACKED_CRASHES = 256
 
 
 class JobCrashTracker:
-    """Finds crashes under this daemon's jobs; tells and hears of them."""
+    """Detects crashes under this daemon's jobs, and shares the suspects.
+
+    A suspect is a request under which endpoints crashed.
+    """
 
     def __init__(self):
         self.clock = Clock()
@@ -41,10 +45,12 @@
         self._tasks = set()
 
     def check_request(self, request):
-        """Refuse a request under which endpoints crash.
+        """Refuse a request that is quarantined.
 
-        :param request: a :class:`Job`, or what has its fingerprint.
-        :raises QuarantinedError: it is quarantined; it has not run.
+        :param request: a :class:`Job`, or another object with its
+            ``fingerprint``.
+        :raises QuarantinedError: endpoints crashed under the request;
+            it has not run.
         """
         left_ms = self.quarantine.left_ms(request)
         if left_ms:
@@ -54,9 +60,9 @@
             )
 
     def check_job(self, job):
-        """Give up an accepted job under which endpoints crash.
+        """Fail an accepted job whose request is quarantined.
 
-        :raises CrashedEndpointsError: it is quarantined.
+        :raises CrashedEndpointsError: endpoints crashed under it.
         """
         if self.quarantine.left_ms(job):
             raise exceptions.CrashedEndpointsError(
@@ -64,15 +70,15 @@
             )
 
     def note_answered(self, job):
-        """Note that an endpoint answered a job."""
+        """Record that an endpoint answered a job and did not crash."""
         self.quarantine.note_answered(job)
 
     def check_for_crash(self, job, endpoint, ran_ms, progressed):
-        """Begin to find out whether an endpoint crashed under a job.
+        """Start a check whether an endpoint crashed under a failed job.
 
-        :param ran_ms: how long the job ran there.
-        :param progressed: whether it got tokens there.
-        :returns: the task.
+        :param ran_ms: how long the job ran on the endpoint.
+        :param progressed: whether the job received tokens from it.
+        :returns: the task of the check.
         """
         task = asyncio.create_task(
             self._check(job, endpoint, ran_ms, progressed)
@@ -82,12 +88,12 @@
         return task
 
     async def wait_briefly(self, task):
-        """Wait for a check, but not for an endpoint that goes on."""
+        """Wait for a check, for at most :data:`CRASH_CHECK_WAIT_MS`."""
         await asyncio.wait({task}, timeout=to_seconds(CRASH_CHECK_WAIT_MS))
 
     async def _check(self, job, endpoint, ran_ms, progressed):
-        leaves = endpoint.reclaim_at_ms is not None
-        if leaves or endpoint.state is not EndpointState.LIVE:
+        is_leaving = endpoint.reclaim_at_ms is not None
+        if is_leaving or endpoint.state is not EndpointState.LIVE:
             return
         url = urllib.parse.urlsplit(endpoint.url)
         if not await is_down(f'{url.hostname}:{url.port or HTTP_PORT}'):
@@ -99,7 +105,7 @@
         self.quarantine.handle_crashes([(job.fingerprint, crash)])
 
     def describe(self):
-        """Return what other daemons are told: JSON-ready."""
+        """Return the suspects to send to other daemons, JSON-ready."""
         now = self.clock.now()
         wall = self.clock.wall()
         known = self.quarantine.known.suspects.values()
@@ -108,25 +114,31 @@
             for item in select_worst(known, MAX_SENT_SUSPECTS)
         ]
 
-    def receive(self, told):
-        """Take what another daemon told; malformed suspects are left aside."""
+    def receive(self, fields):
+        """Merge another daemon's suspects.
+
+        If any of them is malformed, all are ignored.
+        """
         now = self.clock.now()
         wall = self.clock.wall()
         try:
-            known = [suspects.from_fields(item) for item in told]
+            known = [suspects.from_fields(item) for item in fields]
         except (ValueError, TypeError) as exc:
-            logger.warning('suspects left aside', error=str(exc))
+            logger.warning('malformed suspects ignored', error=str(exc))
             return
-        dated = [item.to_clock(wall, now) for item in known]
-        self.quarantine.merge(dated, 'beat', forward=False)
+        local_suspects = [item.to_clock(wall, now) for item in known]
+        self.quarantine.merge(local_suspects, 'beat', forward=False)
 
     def _make_crash_id(self, endpoint_id, now):
-        """Return the name of an endpoint's crash that was noticed now."""
-        before_ms = self._crashed_ms.get(endpoint_id)
-        if before_ms is None or now - before_ms > CRASH_WINDOW_MS:
+        """Return the id of an endpoint's crash that was detected now."""
+        first_noticed_ms = self._crashed_ms.get(endpoint_id)
+        if (
+            first_noticed_ms is None
+            or now - first_noticed_ms > CRASH_WINDOW_MS
+        ):
             self._crashed_ms.pop(endpoint_id, None)
-            self._crashed_ms[endpoint_id] = before_ms = now
+            self._crashed_ms[endpoint_id] = first_noticed_ms = now
         while len(self._crashed_ms) > MAX_TRACKED_CRASHES:
             del self._crashed_ms[next(iter(self._crashed_ms))]
-        wall = self.clock.wall() - (now - before_ms)
+        wall = self.clock.wall() - (now - first_noticed_ms)
         return f'{endpoint_id}@{wall // CRASH_WINDOW_MS}'
--- a/pearrun/api/dispatcher.py
+++ b/pearrun/api/dispatcher.py
@@ -1,4 +1,4 @@
-"""The dispatcher: accepts requests, starts their jobs, keeps answers."""
+"""The dispatcher: accepts requests, starts their jobs, holds answers."""
 
 import asyncio
 
@@ -22,15 +22,15 @@
 
 
 class Dispatcher:
-    """Accepts requests durably and runs each in a task of its own.
+    """Accepts requests and runs each in a task of its own.
 
-    A job runs apart from its caller's connection, so a caller that
-    drops can come back for the answer by id.
+    A job does not depend on its caller's connection: a caller that
+    disconnects can fetch the answer later by the request's id.
 
     :param settings: the daemon's whole :class:`Settings`.
     :param router: a :class:`Router`.
     :param journal: a :class:`Journal`.
-    :param config: a :class:`ConfigFollower` holding the tree in force.
+    :param config: a :class:`ConfigFollower` with the active team tree.
     :param runner: a :class:`Runner`.
     :param metrics: a :class:`MetricsTable`.
     :param crashes: the daemon's :class:`JobCrashTracker`.
@@ -56,16 +56,16 @@
         self.clock = Clock()
         self.saver = Saver(settings, journal)
         self.jobs = {}
-        self.jobs_by_key = {}
+        self.acceptances_by_key = {}
         self.running = {}
         self.accepting = True
 
     def find(self, request_id):
-        """Return a job held by this daemon, or ``None``."""
+        """Return a job of this daemon, or ``None``."""
         return self.jobs.get(request_id)
 
     def check(self, body, key):
-        """Check a request against the tree in force.
+        """Validate a request against the active team tree.
 
         :returns: the service's :class:`ServiceSettings`.
         :raises UnknownServiceError: ``model`` is not a service.
@@ -90,24 +90,25 @@
         return service
 
     async def submit(self, body, key=None, require_durable=True):
-        """Accept a request: check it, journal it, start it.
+        """Accept a request: validate it, journal it and start its job.
 
-        The acceptance goes on when the caller's connection drops in
-        the middle of it, so that no journaled request is left unrun.
+        The acceptance continues when the caller disconnects before it
+        is complete, so that every journaled request is run.
 
         :param body: a :class:`CompletionBody`.
         :param key: the caller's ``Idempotency-Key`` header, if any.
-        :param promise: the caller will be told "accepted" before it
-            has the answer, so the acceptance must be on the log.  A
-            caller that waits for the answer of an idempotent request
-            is served also when the log is down.
-        :returns: the :class:`Job`; an earlier one for a repeated key.
-        :raises PearrunError: a coded error; nothing was accepted.
+        :param require_durable: whether the acceptance must be on the log,
+            because the caller is told "accepted" before it has the
+            answer.  A caller that waits for the answer to an idempotent
+            request is served even while the log is down.
+        :returns: the :class:`Job`; the earlier one for a repeated key.
+        :raises PearrunError: an error with a code; nothing was
+            accepted.
         """
         service = self.check(body, key)
-        scoped = IdempotencyKey(f'{body.model}/{key}') if key else None
-        if scoped in self.jobs_by_key:
-            job = await asyncio.shield(self.jobs_by_key[scoped])
+        scoped_key = IdempotencyKey(f'{body.model}/{key}') if key else None
+        if scoped_key in self.acceptances_by_key:
+            job = await asyncio.shield(self.acceptances_by_key[scoped_key])
             if job.prompt != body.prompt:
                 raise exceptions.IdempotencyMismatchError(
                     'this Idempotency-Key was used for another request'
@@ -115,7 +116,8 @@
             return job
         if not self.accepting:
             raise exceptions.CapacityError(
-                'this host is stopping; others are not', retry_after_s=0
+                'this host is shutting down; retry on another host',
+                retry_after_s=0,
             )
         self.router.admit(body.model)
         job = Job(
@@ -126,7 +128,7 @@
             max_tokens=body.max_tokens or service.max_tokens,
             seed=body.seed,
             accepted_ms=self.clock.now(),
-            idempotency_key=scoped,
+            idempotency_key=scoped_key,
         )
         self.crashes.check_request(job)
         if require_durable or not service.idempotent:
@@ -134,12 +136,12 @@
         else:
             work = self.serve(job, service)
         acceptance = asyncio.create_task(work)
-        if scoped is not None:
-            self.jobs_by_key[scoped] = acceptance
+        if scoped_key is not None:
+            self.acceptances_by_key[scoped_key] = acceptance
         return await asyncio.shield(acceptance)
 
     async def accept(self, job, service):
-        """Journal a job and start it.
+        """Journal a job, then start it.
 
         :returns: the :class:`Job`.
         :raises CapacityError: it could not be journaled.
@@ -148,7 +150,7 @@
         try:
             await self.journal_acceptance(job)
         except exceptions.PearrunError:
-            self.jobs_by_key.pop(job.idempotency_key, None)
+            self.acceptances_by_key.pop(job.idempotency_key, None)
             counters.rejected += 1
             raise
         counters.accepted += 1
@@ -159,9 +161,10 @@
     async def journal_acceptance(self, job):
         """Write a job's acceptance to the journal.
 
-        A host that was cut off may find its journal sealed.  Then the
-        acceptance has not landed, nobody knows the job's id yet, and
-        it is written to the newly opened stream under a new one.
+        After a network partition, a host may find that another one
+        sealed its journal.  The acceptance was then not written, and
+        the job's id is not known to anyone yet, so the acceptance is
+        written to the newly opened stream under a new id.
 
         :raises CapacityError: it could not be journaled.
         """
@@ -172,30 +175,34 @@
             await self.journal.accept(describe_acceptance(job))
 
     async def serve(self, job, service):
-        """Start a job at once and journal it meanwhile.
-
-        :returns: the :class:`Job`, once it is on the log, or once the
-            log fails or takes longer than ``accept_wait_ms``; it gets
-            there later then, or the answer does.
-        :raises JournalUnavailableError: too much waits for the log.
+        """Start a job at once and journal it concurrently.
+
+        :returns: the :class:`Job`, once its acceptance is on the log,
+            or once the log fails or takes longer than
+            ``accept_wait_ms``; the acceptance or the answer is then
+            written later.
+        :raises JournalUnavailableError: the queue of journal entries is
+            full.
         """
         if self.journal.full:
-            self.jobs_by_key.pop(job.idempotency_key, None)
+            self.acceptances_by_key.pop(job.idempotency_key, None)
             raise exceptions.JournalUnavailableError(
-                'the log service is behind', retry_after_s=1
+                'the queue of journal entries is full', retry_after_s=1
             )
         self.metrics.of(job.service).accepted += 1
         self.start(job, service)
-        landed = self.journal.enqueue(describe_acceptance(job))
-        landed.add_done_callback(lambda done: update_durability(job, done))
+        append_future = self.journal.enqueue(describe_acceptance(job))
+        append_future.add_done_callback(
+            lambda done: update_durability(job, done)
+        )
         self.journal.wake.set()
         if not self.journal.failing:
             wait_s = to_seconds(self.settings.host.accept_wait_ms)
-            await asyncio.wait({landed}, timeout=wait_s)
+            await asyncio.wait({append_future}, timeout=wait_s)
         return job
 
     def adopt(self, entry, progress=None):
-        """Start a request taken over from a dead host's journal.
+        """Run a request that was taken over from another host's journal.
 
         :param entry: its :class:`entries.Accepted`.
         :param progress: its :class:`entries.Progress`, if any.
@@ -224,7 +231,7 @@
             self.jobs[job.id] = job
             job.state = RequestState.FAILED
             job.failure = exceptions.UnknownServiceError(
-                f'service {job.service!r} was removed'
+                f'service {job.service!r} no longer exists'
             )
             self.record_end(job)
             return
@@ -239,7 +246,7 @@
         task.add_done_callback(lambda done: self.end(job, done))
 
     def end(self, job, task):
-        """Note that a job's task has ended."""
+        """Handle the end of a job's task."""
         self.running.pop(job.id, None)
         if not task.cancelled() and task.exception() is not None:
             logger.opt(exception=task.exception()).error(
@@ -249,31 +256,34 @@
             self.record_end(job)
 
     def record_end(self, job):
-        """Journal a job's final state and keep its answer a while.
+        """Journal a job's final state, and schedule the job's removal.
 
-        :returns: the future of the journal entry's landing.
+        :returns: a future, done once the entry is on the log.
         """
         self.schedule_removal(job)
         return self.journal.enqueue(describe_end(job))
 
     def schedule_removal(self, job):
-        """Drop a finished job when its answer has been kept a while."""
+        """Remove a finished job after ``answer_keep_ms``."""
         keep_s = to_seconds(self.settings.host.answer_keep_ms)
         asyncio.get_running_loop().call_later(keep_s, self.remove_job, job)
 
     def remove_job(self, job):
-        """Drop a finished job; its answer is on the log from here on."""
+        """Remove a finished job; its answer is now read from the log.
+
+        While callers are reading the answer, the removal is postponed.
+        """
         if job.readers:
             self.schedule_removal(job)
             return
         self.jobs.pop(job.id, None)
-        self.jobs_by_key.pop(job.idempotency_key, None)
+        self.acceptances_by_key.pop(job.idempotency_key, None)
 
     def on_sealed(self):
-        """Drop jobs that another host took over and nobody reads here.
+        """Stop jobs that another host took over, unless they have readers.
 
-        A job with a reader goes on: its caller gets the whole answer
-        on the connection it has.
+        A job with readers continues here, so that its callers receive
+        the whole answer on their present connections.
         """
         for job in list(self.jobs.values()):
             if job.finished or job.readers:
@@ -283,18 +293,18 @@
                 task.cancel()
             job.handed_over = True
             self.jobs.pop(job.id, None)
-            self.jobs_by_key.pop(job.idempotency_key, None)
+            self.acceptances_by_key.pop(job.idempotency_key, None)
 
     def list_running(self):
-        """Return the running jobs that are still this daemon's."""
+        """Return the running jobs that were not handed over."""
         found = [self.jobs.get(request_id) for request_id in self.running]
         return [job for job in found if job is not None]
 
     async def hand_over(self):
-        """Stop the running jobs so that another host goes on with them.
+        """Stop the running jobs so that another host can continue them.
 
-        Callers being answered here are from now on answered through
-        this host by the one that took over.
+        Callers that are reading an answer here receive the rest of it
+        through this host, from the host that took the job over.
         """
         for request_id, task in list(self.running.items()):
             job = self.jobs.pop(request_id)
@@ -305,14 +315,14 @@
         await self.journal.flush()
 
     async def cancel(self, job):
-        """Cancel a job; it is final once the journal says so.
+        """Cancel a job and wait until the journal has recorded it.
 
         :param job: a :class:`Job` of this daemon.
-        :returns: the job; one that had already ended, or whose
-            non-idempotent call is under way, is left as it is.
-        :raises JournalUnavailableError: stopped here, but the journal
-            does not say so yet: should this host die now, another may
-            run it again.
+        :returns: the job; one that has ended already, or whose
+            non-idempotent call is in progress, is not changed.
+        :raises JournalUnavailableError: the job was stopped, but the
+            cancellation is not recorded yet: if this host died now,
+            another one might run the job again.
         """
         service = self.config.tree.find_service(job.service)
         calling = job.started and service and not service.idempotent
@@ -324,14 +334,14 @@
         failure = exceptions.CancelledError('cancelled by the caller')
         failure.not_run = not job.started
         await job.publish(state=RequestState.CANCELLED, failure=failure)
-        landed = self.record_end(job)
+        append_future = self.record_end(job)
         self.journal.wake.set()
         timeout = to_seconds(self.settings.platform.timeout_ms)
         try:
-            await asyncio.wait_for(asyncio.shield(landed), timeout)
+            await asyncio.wait_for(asyncio.shield(append_future), timeout)
         except (TimeoutError, exceptions.StreamSealedError) as exc:
             unrecorded = exceptions.JournalUnavailableError(
-                'cancelled here, but not recorded yet; ask again',
+                'cancelled on this host, but not recorded yet; retry',
                 retry_after_s=1,
             )
             unrecorded.not_run = False
@@ -339,13 +349,15 @@
         return job
 
     async def drain(self):
-        """Stop accepting and wait for every running job to end."""
+        """Stop accepting requests and wait for all running jobs to end."""
         self.accepting = False
         while self.running:
             await asyncio.wait(list(self.running.values()))
             await asyncio.sleep(0)
 
 
-def update_durability(job, landed):
-    """Note that a job's acceptance is on the log, if it is."""
-    job.durable = not landed.cancelled() and landed.exception() is None
+def update_durability(job, append_future):
+    """Record whether a job's acceptance is on the log."""
+    job.durable = (
+        not append_future.cancelled() and append_future.exception() is None
+    )
--- a/pearrun/api/hosts.py
+++ b/pearrun/api/hosts.py
@@ -1,4 +1,4 @@
-"""Watching endpoints: reclaim notices, the host list, load reports."""
+"""Monitoring of endpoints: reclaim notices, host list and load reports."""
 
 import asyncio
 import itertools
@@ -19,15 +19,17 @@
 
 
 class HostWatcher:
-    """Marks endpoints leaving from the cloud's notices and host list.
+    """Marks endpoints as leaving, and refreshes the loads of engines.
+
+    Endpoints are marked on the cloud's reclaim notices and its host list.
 
     :param session: an :class:`aiohttp.ClientSession`.
     :param settings: the daemon's whole :class:`Settings`.
     :param router: the daemon's :class:`Router`.
-    :param announce: called with an endpoint id when this daemon is
-        the one that learned of its leaving.
+    :param announce: called with the id of an endpoint that this daemon
+        marked as leaving.
     :param on_reclaim: called with the time at which this daemon's own
-        entry host goes away, once that is announced.
+        entry host is reclaimed, when its notice arrives.
     """
 
     def __init__(self, session, settings, router, announce, on_reclaim):
@@ -40,11 +42,11 @@
         self.notice_seq = 0
 
     def mark_leaving(self, endpoint_id, source, reclaim_at_ms=None):
-        """Stop routing to an endpoint and tell the other daemons.
+        """Stop routing to an endpoint and notify the other daemons.
 
-        :param source: where the news came from, for the log.
-        :param reclaim_at_ms: when its host goes away, if known; its
-            running streams move before that.
+        :param source: what reported the endpoint, for the log line.
+        :param reclaim_at_ms: monotonic time at which its host is
+            reclaimed, if known; its running streams migrate before.
         """
         endpoint = self.router.endpoints.get(endpoint_id)
         if endpoint is None:
@@ -58,7 +60,7 @@
             self.announce(endpoint_id)
 
     async def read_notices(self):
-        """Read new reclaim notices once."""
+        """Fetch and handle the reclaim notices since the last poll."""
         base = self.settings.platform.cloud_url.rstrip('/')
         params = {'since': str(self.notice_seq)}
         async with self.session.get(
@@ -73,7 +75,7 @@
             self.mark_leaving(notice['id'], 'notice', at_ms)
 
     async def read_host_list(self):
-        """Read the cloud's lagging host list once."""
+        """Fetch the cloud's host list, which lags behind, and handle it."""
         base = self.settings.platform.cloud_url.rstrip('/')
         async with self.session.get(
             f'{base}/v1/hosts', timeout=CLOUD_TIMEOUT
@@ -84,7 +86,7 @@
                 self.mark_leaving(host['id'], 'host list')
 
     async def watch_cloud(self):
-        """Poll the cloud for the daemon's whole life."""
+        """Poll the cloud until cancelled, if one is configured."""
         if not self.settings.platform.cloud_url:
             return
         for poll in itertools.count():
@@ -93,14 +95,14 @@
                 if poll % POLLS_PER_HOST_LIST == 0:
                     await self.read_host_list()
             except (aiohttp.ClientError, OSError, ValueError, KeyError) as exc:
-                logger.debug('cloud API not read', error=repr(exc))
+                logger.debug('cloud API request failed', error=repr(exc))
             await asyncio.sleep(to_seconds(self.settings.host.hosts_poll_ms))
 
     def list_polled_engines(self):
-        """Return the engines whose load is asked for.
+        """Return the engines whose load is polled.
 
-        All of them while a round takes at most a second, else the own
-        zone's.
+        These are all live engines if one round takes at most a second,
+        else only those of this daemon's zone.
         """
         engines = [
             e
@@ -113,19 +115,19 @@
         return [e for e in engines if e.zone == zone]
 
     async def read_load(self, endpoint):
-        """Refresh one engine's reported load."""
+        """Refresh one engine's reported load, less this daemon's requests."""
         load = await backends.read_load(self.session, endpoint)
         if load is not None:
             endpoint.reported_load = max(0, load - endpoint.in_flight)
 
     async def watch_loads(self):
-        """Poll the engines' loads at a bounded rate, while in use.
+        """Poll the engines' loads at a bounded rate until cancelled.
 
-        At most ``load_polls_per_s`` engines are asked a second, so
-        that the cost does not grow with the fleet, and none while no
-        request was routed for :data:`POLLING_IDLE_MS`.
+        At most ``load_polls_per_s`` engines are polled per second, so
+        that the cost does not grow with the fleet.  None is polled when
+        no request was routed for :data:`POLLING_IDLE_MS`.
         """
-        gap_s = 1.0 / self.settings.host.load_polls_per_s
+        interval_s = 1.0 / self.settings.host.load_polls_per_s
         rest_ms = self.settings.host.loads_poll_ms
         while True:
             started = self.clock.now()
@@ -136,6 +138,6 @@
                 continue
             for endpoint in self.list_polled_engines():
                 await self.read_load(endpoint)
-                await asyncio.sleep(gap_s)
+                await asyncio.sleep(interval_s)
             left_ms = rest_ms - self.clock.since(started)
             await asyncio.sleep(to_seconds(max(left_ms, MIN_PAUSE_MS)))
--- a/pearrun/api/kvtransfer.py
+++ b/pearrun/api/kvtransfer.py
@@ -1,9 +1,9 @@
-"""Moving a running stream's KV cache off an endpoint that is leaving.
+"""Transfer of a stream's KV cache from an endpoint that is leaving.
 
-With a reclaim notice there are seconds left.  The blocks of the
-prompt and of the tokens already streamed are exported from the old
-engine and imported into the new one, so that the new engine resumes
-the stream without reading the prompt again.
+After a reclaim notice, seconds are left to move a stream.  The blocks
+of the prompt and of the tokens already streamed are exported from the
+old engine and imported into the new one, so that the new engine
+resumes the stream without a second prefill of the prompt.
 """
 
 import aiohttp
@@ -14,14 +14,15 @@
 async def transfer_cache(session, job, source, target, timeout_ms):
     """Copy a job's KV cache blocks between two engines.
 
-    A failure costs only recomputation: the stream resumes either way.
+    After a failure the stream resumes all the same; the new engine
+    then recomputes the cache.
 
     :param session: an :class:`aiohttp.ClientSession`.
-    :param job: the :class:`Job` being moved.
+    :param job: the :class:`Job` to migrate.
     :param source: the leaving :class:`Endpoint`.
-    :param target: the :class:`Endpoint` the job goes to.
-    :param timeout_ms: time allowed for the whole copy.
-    :returns: how many blocks were imported; 0 when the copy failed.
+    :param target: the :class:`Endpoint` that the job migrates to.
+    :param timeout_ms: timeout of each of the two requests.
+    :returns: the number of blocks imported; 0 if the transfer failed.
     """
     body = {'prompt': job.prompt, 'tokens': job.tokens}
     timeout = aiohttp.ClientTimeout(total=to_seconds(timeout_ms))
--- a/pearrun/api/members.py
+++ b/pearrun/api/members.py
@@ -1,15 +1,15 @@
-"""Membership: which daemons are alive, told through the platform log.
-
-Every daemon appends a beat to the ``members`` stream and reads the
-beats of all others, in every failure domain.  No clocks are compared
-and no coordination service is asked: a daemon counts how many of *its
-own* beats it has read back since it last read one from another
-daemon.  While the log is down nobody's beats land, so nobody is taken
-for dead; a daemon that was paused reads the beats it missed before it
-judges anyone.
-
-Being taken for dead is only ever a hint to seal a journal; whether a
-host may go on accepting is decided by the seal (see
+"""Membership: failure detection between daemons over the platform log.
+
+Every daemon appends heartbeats to the ``members`` stream and reads
+those of all others, in every failure domain.  It needs neither
+synchronized clocks nor a coordination service: a daemon counts how
+many of *its own* heartbeats it has read back since the last one of
+another daemon.  While the log is down, no heartbeats are written, so
+nobody is declared dead; a daemon that was paused reads the heartbeats
+that it missed before it judges the others.
+
+That a daemon is declared dead is only a hint to seal its journal;
+whether its host may accept requests is decided by the seal (see
 ``docs/survival.md``).
 """
 
@@ -20,18 +20,19 @@
 from pearrun.clock import to_seconds
 from pearrun.states import MemberState
 
-STREAM = 'members'
+MEMBERS_STREAM = 'members'
 MAX_INITIAL_RECORDS = 2000
 MAX_HEARTBEATS_PER_S = 40
 
 
 @dataclasses.dataclass
 class Member:
-    """One run of a daemon, as its last beat described it.
+    """One run of a daemon, as described by its last heartbeat.
 
-    ``missed`` counts this daemon's own beats since then; ``replaced``
-    says that a later run of the same host has announced itself.
-    ``suspects`` are the requests under which endpoints crashed.
+    ``missed`` counts the observer's own heartbeats since then, and
+    ``replaced`` says that a later run of the same host has sent
+    heartbeats.  ``suspects`` are the requests under which endpoints
+    crashed.
     """
 
     name: str
@@ -46,21 +47,21 @@
     replaced: bool = False
 
     @classmethod
-    def from_heartbeat(cls, beat):
-        """Build a member from a beat's map."""
+    def from_heartbeat(cls, heartbeat):
+        """Build a member from a heartbeat's map."""
         return cls(
-            name=str(beat['name']),
-            stream=str(beat['stream']),
-            zone=str(beat['zone']),
-            url=str(beat['url']),
-            state=MemberState(beat['state']),
-            config_version=int(beat['config_version']),
-            leaving=tuple(beat['leaving']),
-            suspects=list(beat.get('suspects', ())),
+            name=str(heartbeat['name']),
+            stream=str(heartbeat['stream']),
+            zone=str(heartbeat['zone']),
+            url=str(heartbeat['url']),
+            state=MemberState(heartbeat['state']),
+            config_version=int(heartbeat['config_version']),
+            leaving=tuple(heartbeat['leaving']),
+            suspects=list(heartbeat.get('suspects', ())),
         )
 
     def to_heartbeat(self):
-        """Return the member as a beat's JSON-ready map."""
+        """Return the member as a heartbeat's JSON-ready map."""
         return {
             'name': self.name,
             'stream': self.stream,
@@ -74,15 +75,15 @@
 
 
 class Membership:
-    """Beats and follows the ``members`` stream.
+    """Sends heartbeats and follows the ``members`` stream.
 
     :param log: a :class:`LogClient`.
     :param settings: the daemon's whole :class:`Settings`.
     :param describe: returns this daemon's own :class:`Member`.
     :param on_leaving: called with each endpoint id that another
         daemon reports as leaving.
-    :param on_suspects: called with what another daemon tells of requests
-        under which endpoints crashed.
+    :param on_suspects: called with the requests under which endpoints
+        crashed, as another daemon reports them.
     """
 
     def __init__(
@@ -96,17 +97,17 @@
         self.members = {}
         self.next_offset = None
         self.heartbeat_requested = asyncio.Event()
-        self.reading = asyncio.Lock()
+        self.read_lock = asyncio.Lock()
         self.own_heartbeats = 0
         self.first_asked = {}
 
     @property
     def orphan_beats(self):
-        """Own beats without one from a member before it is dead."""
+        """Own heartbeats without one from a member until it is dead."""
         return self.settings.host.orphan_beats
 
     def is_dead(self, member):
-        """Say whether a member's requests are to be taken over."""
+        """Return whether a member is dead, so its requests are taken over."""
         return (
             member.state == MemberState.LEFT
             or member.replaced
@@ -114,10 +115,10 @@
         )
 
     def is_writer_dead(self, stream):
-        """Say whether the writer of a journal stream is dead.
+        """Return whether the writer of a journal stream is dead.
 
-        A writer never heard of is dead once ``orphan_beats`` of this
-        daemon's own beats have passed since it was first asked for.
+        A writer without any heartbeat is dead once this daemon has read
+        back ``orphan_beats`` of its own heartbeats since the first query.
         """
         if stream == self.describe().stream:
             return False
@@ -129,32 +130,32 @@
         return self.own_heartbeats - since >= self.orphan_beats
 
     def list_live(self):
-        """Return the members that are not taken for dead."""
+        """Return the members that are not dead."""
         return [m for m in self.members.values() if not self.is_dead(m)]
 
     def find(self, stream):
-        """Return the member writing a journal stream, or ``None``."""
+        """Return the member that writes a journal stream, or ``None``."""
         return self.members.get(stream)
 
     def remove(self, stream):
-        """Drop a member whose journal has been emptied."""
+        """Remove a member whose journal has been emptied."""
         self.members.pop(stream, None)
 
-    def receive(self, beat, own_stream=None):
-        """Take one beat, read from the log, into account.
+    def receive(self, heartbeat, own_stream=None):
+        """Process one heartbeat that was read from the log.
 
-        :param own_stream: this daemon's own journal stream, when the
-            caller has it at hand.
+        :param own_stream: this daemon's own journal stream, if the
+            caller knows it.
         """
-        member = Member.from_heartbeat(beat)
+        member = Member.from_heartbeat(heartbeat)
         own_stream = own_stream or self.describe().stream
         is_own = member.stream == own_stream
-        counts = is_own and not beat.get('extra', False)
-        self.own_heartbeats += counts
+        is_scheduled = is_own and not heartbeat.get('extra', False)
+        self.own_heartbeats += is_scheduled
         for other in self.members.values():
             if other.name == member.name and other.stream != member.stream:
                 other.replaced = True
-            if counts and other.stream != own_stream:
+            if is_scheduled and other.stream != own_stream:
                 other.missed += 1
         self.members[member.stream] = member
         if not is_own and self.on_leaving is not None:
@@ -164,55 +165,58 @@
             self.on_suspects(member.suspects)
 
     async def send_heartbeat(self, extra=False):
-        """Append one beat; a beat that does not land is skipped.
+        """Append one heartbeat; it is not repeated if that fails.
 
-        :param extra: it is sent between times, to tell some news, and
-            does not count when others' silence is measured.
+        :param extra: the heartbeat is sent out of schedule to publish a
+            change, and does not add to the missed heartbeats of others.
+        :returns: whether the heartbeat was appended.
         """
-        beat = dict(self.describe().to_heartbeat(), extra=extra)
+        heartbeat = dict(self.describe().to_heartbeat(), extra=extra)
         try:
-            await self.log.append(STREAM, beat)
+            await self.log.append(MEMBERS_STREAM, heartbeat)
         except exceptions.PearrunError:
             return False
         return True
 
     @property
-    def pause_ms(self):
-        """Time between beats: longer the more daemons are alive.
+    def heartbeat_interval_ms(self):
+        """Interval between heartbeats; it grows with the live daemons.
 
-        All of them together append at most :data:`MAX_HEARTBEATS_PER_S`.
+        Together they append at most :data:`MAX_HEARTBEATS_PER_S`.
         """
-        crowded_ms = 1000 * len(self.list_live()) // MAX_HEARTBEATS_PER_S
-        return max(self.settings.host.beat_ms, crowded_ms)
+        rate_limited_ms = 1000 * len(self.list_live()) // MAX_HEARTBEATS_PER_S
+        return max(self.settings.host.beat_ms, rate_limited_ms)
 
     async def run_heartbeats(self):
-        """Beat for the daemon's whole life."""
+        """Send heartbeats until cancelled."""
         while True:
             await self.send_heartbeat()
             try:
-                async with asyncio.timeout(to_seconds(self.pause_ms)):
+                async with asyncio.timeout(
+                    to_seconds(self.heartbeat_interval_ms)
+                ):
                     await self.send_requested_heartbeats()
             except TimeoutError:
                 continue
 
     async def send_requested_heartbeats(self):
-        """Send an extra beat whenever there is news, until cancelled."""
+        """Send an extra heartbeat on each request, until cancelled."""
         while True:
             await self.heartbeat_requested.wait()
             self.heartbeat_requested.clear()
             await self.send_heartbeat(extra=True)
 
     async def poll_once(self):
-        """Read the beats that are new on the log, each once.
+        """Read and process the new heartbeats on the log, each once.
 
         :raises JournalUnavailableError: the log service is down.
         """
-        async with self.reading:
+        async with self.read_lock:
             if self.next_offset is None:
-                first, head = await self.log.bounds(STREAM)
+                first, head = await self.log.bounds(MEMBERS_STREAM)
                 self.next_offset = max(first, head - MAX_INITIAL_RECORDS)
             records, self.next_offset = await self.log.read_all(
-                STREAM, self.next_offset
+                MEMBERS_STREAM, self.next_offset
             )
             own_stream = self.describe().stream
             for record in records:
--- a/pearrun/api/orders.py
+++ b/pearrun/api/orders.py
@@ -1,21 +1,22 @@
 """Orders to engines: which model, adapter or version to load.
 
 The team tree names each service's ``model``.  The daemons of an
-endpoint's zone see to it that the endpoint has it: one of them, the
-favourite of a rendezvous hash among the live ones, sends the order,
-and looks every ``orders_ms`` whether it still stands.
+endpoint's zone ensure that the endpoint has it loaded: rendezvous
+hashing selects one of the live daemons, which sends the order and
+checks every ``orders_ms`` whether it is still in effect.
 
-An order's fencing number is the version of the tree it comes from, so
-two daemons that both think it is their turn send the same order.  An
-engine that checks the number refuses an older order.  For one that
-does not, three things keep an older order from standing:
+An order's fencing token is the version of the tree that it comes from,
+so two daemons that both consider themselves responsible send the same
+order.  An engine that checks the token refuses an older order.  With
+an engine that does not, three measures keep an older order from
+remaining in effect:
 
 - a daemon reads the configuration stream to its head right before it
-  sends, and sends nothing when it cannot;
-- a daemon that was paused between that and sending notices by its
-  clock and starts over;
-- the orders an engine has taken are read back, and when the last one
-  is not the wanted one it is given again.
+  sends an order, and sends nothing if it cannot;
+- a daemon that was paused between reading and sending detects this by
+  its clock and starts again;
+- the orders that an engine has accepted are read back, and the desired
+  one is sent again if the last one differs.
 """
 
 import asyncio
@@ -40,9 +41,10 @@
 class Order:
     """One order to an engine.
 
-    :param kind: what to do, such as ``load_model``.
+    :param kind: the action, such as ``load_model``.
     :param value: the model, adapter or version.
-    :param fencing: the tree's version; newer orders have a larger one.
+    :param fencing: the fencing token, which is the tree's version; newer
+        orders have a larger one.
     """
 
     kind: str
@@ -51,7 +53,7 @@
 
 
 class OrderReconciler:
-    """Keeps the engines of this daemon's zone at the wanted models.
+    """Reconciles the engines of this daemon's zone with the team tree.
 
     :param session: an :class:`aiohttp.ClientSession`.
     :param settings: the daemon's whole :class:`Settings`.
@@ -70,10 +72,10 @@
         self.sent = 0
 
     def build_desired_orders(self, endpoint):
-        """Return the orders an endpoint should stand at.
+        """Return the orders that should be in effect at an endpoint.
 
         :returns: a list of :class:`Order`, one for each model of the
-            services it serves, sorted by model.
+            endpoint's services, sorted by model.
         """
         tree = self.config.tree
         models = set()
@@ -84,21 +86,21 @@
         return [Order(LOAD_MODEL, m, tree.version) for m in sorted(models)]
 
     def is_responsible(self, endpoint):
-        """Say whether this daemon is the one to give the orders."""
-        own = self.membership.describe().stream
+        """Return whether this daemon sends the orders to an endpoint."""
+        own_stream = self.membership.describe().stream
         names = [
             m.stream
             for m in self.membership.list_live()
             if m.zone == self.settings.host.zone
         ]
-        best = max(
-            [own, *names],
+        highest_scoring = max(
+            [own_stream, *names],
             key=lambda n: compute_rendezvous_score(n, endpoint.id),
         )
-        return best == own
+        return highest_scoring == own_stream
 
     async def read_orders(self, endpoint):
-        """Return the orders an engine has taken, oldest first."""
+        """Return the orders that an engine has accepted, oldest first."""
         async with self.session.get(
             f'{endpoint.url}/v1/orders', timeout=ORDER_TIMEOUT
         ) as response:
@@ -111,7 +113,7 @@
     async def send(self, endpoint, order):
         """Send one order.
 
-        :raises StaleOrderError: the engine has seen a newer one.
+        :raises StaleOrderError: the engine has accepted a newer one.
         """
         async with self.session.post(
             f'{endpoint.url}/v1/orders',
@@ -120,33 +122,33 @@
         ) as response:
             if response.status == 409:
                 raise exceptions.StaleOrderError(
-                    f'{endpoint.id} has a newer order than {order}'
+                    f'{endpoint.id} has accepted a newer order than {order}'
                 )
         self.sent += 1
 
     async def reconcile(self, endpoint):
-        """Bring one engine to the wanted orders, if it is not there.
+        """Send an engine the desired orders unless they are in effect.
 
-        :raises JournalUnavailableError: the configuration cannot be
-            read to its head, so nothing may be ordered.
+        :raises JournalUnavailableError: the configuration stream cannot
+            be read to its head, so no order may be sent.
         """
-        taken = await self.read_orders(endpoint)
+        accepted_orders = await self.read_orders(endpoint)
         while True:
             started = self.clock.now()
             await self.config.poll_once()
             wanted = self.build_desired_orders(endpoint)
-            newest = taken[-len(wanted) :] if wanted else []
-            stands = [(o.kind, o.value) for o in newest]
-            if stands == [(o.kind, o.value) for o in wanted]:
+            newest_accepted = accepted_orders[-len(wanted) :] if wanted else []
+            in_effect = [(o.kind, o.value) for o in newest_accepted]
+            if in_effect == [(o.kind, o.value) for o in wanted]:
                 return
             if self.clock.since(started) <= MAX_PAUSE_MS:
                 break
         for order in wanted:
             await self.send(endpoint, order)
-        logger.info('ordered', endpoint=endpoint.id, orders=len(wanted))
+        logger.info('orders sent', endpoint=endpoint.id, orders=len(wanted))
 
     async def watch(self):
-        """Keep the zone's engines for the daemon's whole life."""
+        """Reconcile the zone's engines until cancelled."""
         while True:
             await asyncio.sleep(to_seconds(self.settings.host.orders_ms))
             for endpoint in list(self.router.endpoints.values()):
@@ -154,7 +156,7 @@
                     await self.try_reconcile(endpoint)
 
     def needs_check(self, endpoint):
-        """Say whether this daemon looks after an endpoint's orders."""
+        """Return whether this daemon has to reconcile an endpoint."""
         return (
             endpoint.kind == BackendKind.ENGINE
             and endpoint.state == EndpointState.LIVE
@@ -164,7 +166,7 @@
         )
 
     async def try_reconcile(self, endpoint):
-        """Keep one engine; what fails is tried again later."""
+        """Reconcile one engine; a failure is retried in the next round."""
         try:
             await self.reconcile(endpoint)
         except (
@@ -174,4 +176,6 @@
             ValueError,
             KeyError,
         ) as exc:
-            logger.debug('order waits', endpoint=endpoint.id, error=repr(exc))
+            logger.debug(
+                'orders not sent', endpoint=endpoint.id, error=repr(exc)
+            )
--- a/pearrun/api/peers.py
+++ b/pearrun/api/peers.py
@@ -1,19 +1,19 @@
-"""Peers: daemons of one failure domain, over websockets with CBOR.
-
-A daemon dials its next :data:`MAX_LINKS` neighbours in the ring of the
-zone's addresses, one task each, so that the cost of links does not
-grow with the zone.  The task sends a heartbeat every ``heartbeat_ms``;
-a link that has been silent for ``peer_timeout_ms`` is dropped and
-dialled again, since a silent connection may never come back while a
-new one works.  News is passed on around the ring.  Messages are CBOR
-maps with a ``type`` key:
-
-- ``{"type": "heartbeat", "from": name, "version": n}``; the other end
-  answers with its own, or with its team tree if that is newer.
-- ``{"type": "leaving", "from": name, "endpoint": id}``, passed on by
-  whoever did not know it.
-- ``{"type": "config", "from": name, "yaml": text}``: the team tree in
-  force, so that a daemon that cannot reach the platform's log gets it.
+"""Peer links: CBOR over websockets between daemons of a failure domain.
+
+The zone's daemons form a ring, sorted by address.  Each one connects to
+its next :data:`MAX_LINKS` neighbours, with one task per link, so that
+the cost of links does not grow with the zone.  The task sends a
+heartbeat every ``heartbeat_ms``; if nothing arrives for
+``peer_timeout_ms``, it reconnects, because the connection may be dead
+although a new one works.  Updates are forwarded around the ring.
+Messages are CBOR maps with a ``type`` key:
+
+- ``{"type": "heartbeat", "from": name, "version": n}``: the peer
+  answers with its own version, or with its team tree if that is newer.
+- ``{"type": "leaving", "from": name, "endpoint": id}``: forwarded by
+  each daemon to which it is new.
+- ``{"type": "config", "from": name, "yaml": text}``: the active team
+  tree, for daemons that cannot reach the platform log.
 """
 
 import asyncio
@@ -30,12 +30,12 @@
 from pearrun.states import EndpointState
 
 MAX_LINKS = 3
-MAX_QUEUED = 1000
+MAX_QUEUED_MESSAGES = 1000
 
 
 @dataclasses.dataclass
 class PeerLink:
-    """What this daemon knows of one peer."""
+    """State of the link to one peer."""
 
     url: str
     connected: bool = False
@@ -44,7 +44,7 @@
 
 
 def choose_neighbours(own_url, urls, count=MAX_LINKS):
-    """Return the next ``count`` addresses after one's own in the ring.
+    """Return the next ``count`` addresses after ``own_url`` in the ring.
 
     :param own_url: this daemon's own peer address.
     :param urls: the other daemons' addresses.
@@ -58,8 +58,8 @@
     """The peer links of one daemon.
 
     :param settings: the daemon's whole :class:`Settings`.
-    :param router: the daemon's :class:`Router`, told of leaving
-        endpoints that peers report.
+    :param router: the daemon's :class:`Router`; endpoints that peers report
+        as leaving are marked there.
     :param config: the daemon's :class:`ConfigFollower`.
     """
 
@@ -72,26 +72,29 @@
         own_url = f'ws://{listen.host}:{listen.port}/peer'
         urls = choose_neighbours(own_url, settings.host.peers)
         self.links = {url: PeerLink(url) for url in urls}
-        self.outbox = {url: asyncio.Queue(MAX_QUEUED) for url in urls}
+        self.outbox = {url: asyncio.Queue(MAX_QUEUED_MESSAGES) for url in urls}
 
     def encode(self, message):
         """Encode a message as CBOR, stamped with this daemon's name."""
         return cbor2.dumps(dict(message, **{'from': self.settings.host.name}))
 
     def broadcast_leaving(self, endpoint_id):
-        """Tell the neighbours that an endpoint takes no new work."""
+        """Notify the neighbours that an endpoint accepts no new requests.
+
+        The message is dropped for a neighbour whose queue is full.
+        """
         for queue in self.outbox.values():
             if not queue.full():
                 queue.put_nowait({'type': 'leaving', 'endpoint': endpoint_id})
 
     def heartbeat(self):
-        """Return this daemon's heartbeat."""
+        """Return a heartbeat message of this daemon."""
         return {'type': 'heartbeat', 'version': self.config.tree.version}
 
     def receive(self, data):
-        """Act on one message from a peer.
+        """Handle one message from a peer.
 
-        :returns: the answer to send back, or ``None``.
+        :returns: the answer to send, or ``None``.
         """
         message = cbor2.loads(data)
         match message.get('type'):
@@ -101,7 +104,7 @@
                 endpoint = message.get('endpoint')
                 if self.router.mark(endpoint, EndpointState.LEAVING):
                     logger.info(
-                        'peer reports endpoint leaving', endpoint=endpoint
+                        'peer reported endpoint leaving', endpoint=endpoint
                     )
                     self.broadcast_leaving(endpoint)
             case 'config':
@@ -111,7 +114,7 @@
     def answer_heartbeat(self, message):
         """Return the answer to a peer's heartbeat.
 
-        It is the team tree in force if the peer's is older.
+        It is the active team tree if the peer's version is older.
         """
         if message.get('version', 0) < self.config.tree.version:
             text = config_module.tree_to_yaml(self.config.tree)
@@ -121,12 +124,12 @@
     async def serve(self, websocket):
         """Handle one incoming peer connection until it closes."""
         async for data in websocket:
-            answer = self.receive(data)
-            if answer is not None:
-                await websocket.send(self.encode(answer))
+            response = self.receive(data)
+            if response is not None:
+                await websocket.send(self.encode(response))
 
     async def maintain_link(self, url):
-        """Keep one outgoing link up for the daemon's whole life."""
+        """Connect to a peer, and reconnect on failure, until cancelled."""
         link = self.links[url]
         host = self.settings.host
         while True:
@@ -147,27 +150,29 @@
             await asyncio.sleep(to_seconds(host.heartbeat_ms))
 
     async def exchange_messages(self, websocket, link):
-        """Send heartbeats and news; give up when the peer is silent.
+        """Send heartbeats and queued messages until the link fails.
 
-        :raises TimeoutError: nothing came for ``peer_timeout_ms``.
+        :raises TimeoutError: nothing arrived for ``peer_timeout_ms``.
         """
         timeout_ms = self.settings.host.peer_timeout_ms
-        listener = asyncio.create_task(self.listen(websocket, link))
+        listen_task = asyncio.create_task(self.listen(websocket, link))
         try:
-            while not listener.done():
+            while not listen_task.done():
                 message = await self.next_message(link)
                 await websocket.send(self.encode(message))
                 if self.clock.since(link.last_seen_ms) > timeout_ms:
-                    raise TimeoutError(f'{link.url} is silent')
+                    raise TimeoutError(
+                        f'no message from {link.url} for {timeout_ms} ms'
+                    )
         finally:
-            listener.cancel()
+            listen_task.cancel()
             with contextlib.suppress(
                 asyncio.CancelledError, websockets.WebSocketException
             ):
-                await listener
+                await listen_task
 
     async def next_message(self, link):
-        """Return the next news, or a heartbeat when it is time."""
+        """Return the next queued message, or a heartbeat when one is due."""
         pause_s = to_seconds(self.settings.host.heartbeat_ms)
         try:
             async with asyncio.timeout(pause_s):
@@ -176,11 +181,11 @@
             return self.heartbeat()
 
     async def listen(self, websocket, link):
-        """Read a peer's answers on an outgoing link."""
+        """Handle a peer's messages on an outgoing link."""
         async for data in websocket:
             link.last_seen_ms = self.clock.now()
             self.receive(data)
 
     def to_body(self):
-        """Return the links' state, JSON-ready."""
+        """Return the state of the links, JSON-ready."""
         return [dataclasses.asdict(link) for link in self.links.values()]
--- a/pearrun/api/placement.py
+++ b/pearrun/api/placement.py
@@ -1,4 +1,4 @@
-"""Placing jobs: which endpoint a job goes to, and for how long."""
+"""Placement of jobs on endpoints, and their migration on a reclaim."""
 
 import contextlib
 
@@ -12,7 +12,7 @@
 
 
 class Placement:
-    """Picks endpoints for jobs and counts the jobs against them.
+    """Selects endpoints for jobs and counts the jobs in flight there.
 
     :param router: the daemon's :class:`Router`.
     """
@@ -22,11 +22,11 @@
         self.clock = Clock()
 
     async def choose(self, job, service, tried, backoff):
-        """Pick an endpoint, waiting for one as long as it takes.
+        """Select an endpoint; waits until there is one.
 
-        :param tried: a set of endpoint ids to leave out; emptied when
-            nothing else is left.
-        :param backoff: a :class:`Backoff` for the waiting.
+        :param tried: a set of endpoint ids to exclude; it is cleared
+            when no other endpoint is left.
+        :param backoff: a :class:`Backoff` for the time between attempts.
         """
         while True:
             endpoint = self.find(job, service, tried)
@@ -36,7 +36,7 @@
             await backoff.pause()
 
     def find(self, job, service, exclude=()):
-        """Pick an endpoint; ``None`` when there is none."""
+        """Select an endpoint; ``None`` if there is none."""
         try:
             return self.router.choose(
                 job.service, job.prompt, exclude, build_policy(service)
@@ -45,11 +45,11 @@
             return None
 
     def find_migration_target(self, job, service, endpoint):
-        """Return where to move a job whose endpoint is being reclaimed.
+        """Return where to migrate a job whose endpoint is being reclaimed.
 
-        :returns: an :class:`Endpoint`; ``None`` to stay, because the
-            endpoint is not reclaimed, the stream will end well before
-            it is, or there is nowhere to go.
+        :returns: an :class:`Endpoint`; ``None`` if the job stays,
+            because its endpoint is not being reclaimed, its stream will
+            end well before that, or there is no other endpoint.
         """
         if endpoint.reclaim_at_ms is None:
             return None
@@ -60,20 +60,20 @@
         return self.find(job, service, {endpoint.id})
 
     def find_last_engine(self, job):
-        """Return the engine a job last ran on, if it is known here."""
+        """Return the engine that last ran a job, if this router has it."""
         last = self.router.endpoints.get(job.endpoint)
         if last is None or last.kind != BackendKind.ENGINE:
             return None
         return last
 
     def accepts_new_work(self, endpoint):
-        """Say whether an endpoint takes new work."""
+        """Return whether an endpoint accepts new requests."""
         return endpoint.state == EndpointState.LIVE
 
     @contextlib.contextmanager
     def track_in_flight(self, job, endpoint):
-        """Count a job against an endpoint while it runs there."""
-        begun = job.started
+        """Count a job as in flight on an endpoint while it runs there."""
+        was_started = job.started
         job.endpoint = endpoint.id
         job.started = True
         endpoint.in_flight += 1
@@ -81,7 +81,7 @@
             yield
             job.attempts += 1
         except exceptions.EndpointUnreachableError:
-            job.started = begun
+            job.started = was_started
             raise
         except exceptions.BackendError:
             job.attempts += 1
--- a/pearrun/api/router.py
+++ b/pearrun/api/router.py
@@ -1,11 +1,11 @@
-"""Routing: which endpoint serves a request.
+"""Routing: selection of the endpoint that serves a request.
 
-Three policies, chosen by data class and dispatched with ``match``:
+There are three policies, one data class each:
 
 - :class:`AffinityPolicy` (the default): rendezvous hashing of the
-  prompt's first block, so requests that share a prefix land where
-  that prefix is cached; it gives way to the least loaded endpoint
-  when the favourite is ``slack`` requests busier.
+  prompt's start, so that requests with a common prefix are routed to
+  the endpoint that has the prefix cached; an endpoint that has over
+  ``slack`` requests more than the least loaded one is passed over.
 - :class:`LeastLoadedPolicy` and :class:`RoundRobinPolicy`: baselines.
 """
 
@@ -33,9 +33,11 @@
 class AffinityPolicy:
     """Prefix-cache affinity, bounded by load.
 
-    ``reach`` is the prompt length, in characters, from which on the
-    favourite is sought in all zones: reading a long prompt again costs
-    more than a hop between zones.  ``None`` keeps to the own zone.
+    ``slack`` is how many requests more than the least loaded endpoint a
+    chosen one may have.  ``reach`` is the minimum prompt length, in
+    characters, at which endpoints of all zones are considered: the
+    prefill of a long prompt costs more than a hop between zones.
+    ``None`` restricts the choice to the daemon's own zone.
     """
 
     slack: int = 4
@@ -44,44 +46,44 @@
 
 @dataclasses.dataclass(frozen=True)
 class LeastLoadedPolicy:
-    """Fewest requests in flight."""
+    """The endpoint with the lowest load."""
 
 
 @dataclasses.dataclass(frozen=True)
 class RoundRobinPolicy:
-    """Each endpoint in turn."""
+    """All endpoints in rotation."""
 
 
 def compute_seed(key):
-    """Return the seed with which a key's scores are drawn."""
+    """Return the hash of a key, which seeds its rendezvous scores."""
     return xxhash.xxh3_64_intdigest(key.encode('utf-8', 'surrogatepass'))
 
 
 def compute_rendezvous_score(name, key):
-    """Return the rendezvous-hash weight of a name for a key."""
+    """Return the rendezvous-hash score of a name for a key."""
     return compute_score(name, compute_seed(key))
 
 
 def compute_score(name, seed):
-    """Return the rendezvous-hash weight of a name for a key's seed."""
+    """Return the rendezvous-hash score of a name for a key's seed."""
     return xxhash.xxh3_64_intdigest(name.encode(), seed)
 
 
 def choose_by_affinity(pool, prompt, slack):
-    """Return the prompt's favourite endpoint, unless it is too busy.
+    """Return the highest-scoring endpoint whose load is within bounds.
 
-    The endpoints are ranked by rendezvous hash of the prompt's start;
-    the first one that is at most ``slack`` requests busier than the
-    lightest is taken, so that a hot prefix spreads over few endpoints.
+    The endpoints are ranked by rendezvous hash of the prompt's start.
+    The first one with at most ``slack`` requests more than the least
+    loaded one is chosen, so that a hot prefix uses few endpoints.
     """
     seed = compute_seed(prompt[:PREFIX_CHARS])
     limit = min(e.load for e in pool) + slack
-    near = [e for e in pool if e.load <= limit]
-    return max(near, key=lambda e: compute_score(e.id, seed))
+    eligible = [e for e in pool if e.load <= limit]
+    return max(eligible, key=lambda e: compute_score(e.id, seed))
 
 
 def build_policy(service):
-    """Return the routing policy that a service's settings ask for.
+    """Return the routing policy configured for a service.
 
     :param service: a :class:`ServiceSettings`.
     """
@@ -99,13 +101,14 @@
 
 
 class Router:
-    """Keeps the endpoints and picks one per request.
-
-    :param endpoints: :class:`Endpoint` objects, all zones.
-    :param zone: this daemon's failure domain; its endpoints go first.
-    :param policy: one of the policy data classes.
-    :param max_load: load of an endpoint from which on it takes no new
-        requests; ``None`` for no limit.
+    """Holds the endpoints and selects one for each request.
+
+    :param endpoints: :class:`Endpoint` objects of all zones.
+    :param zone: this daemon's failure domain; its endpoints are
+        preferred.
+    :param policy: an instance of one of the policy data classes.
+    :param max_load: load at which an endpoint accepts no new requests;
+        ``None`` for no limit.
     """
 
     def __init__(self, endpoints, zone, policy=None, max_load=None):
@@ -129,12 +132,12 @@
         )
 
     def list_candidates(self, service, exclude=(), all_zones=False):
-        """Return the live endpoints that may serve a service.
+        """Return the live endpoints of a service.
 
         :param service: the service name.
-        :param exclude: endpoint ids to leave out.
-        :param everywhere: take those of all zones; else only the own
-            zone's, or all if it has none.
+        :param exclude: endpoint ids to exclude.
+        :param all_zones: whether to include all zones; else only this
+            daemon's zone, or all if it has no such endpoint.
         :returns: a list of :class:`Endpoint`, sorted by id.
         """
         if service not in self.pools:
@@ -146,7 +149,10 @@
         return live if all_zones else local or live
 
     def build_pool(self, service):
-        """Return a service's live endpoints: of all zones, and its own."""
+        """Return a service's live endpoints.
+
+        :returns: those of all zones, and those of this daemon's zone.
+        """
         live = sorted(
             (
                 e
@@ -158,11 +164,11 @@
         return live, [e for e in live if e.zone == self.zone]
 
     def admit(self, service):
-        """Check that a new request of a service can be taken on.
+        """Check that a new request for a service can be accepted.
 
         :param service: the service name.
         :raises NoEndpointError: no live endpoint serves it.
-        :raises OverloadedError: all of them are at their limit.
+        :raises OverloadedError: all of them have reached ``max_load``.
         """
         pool = self.list_candidates(service)
         if not pool:
@@ -173,17 +179,17 @@
             return
         if min(e.load for e in pool) >= self.max_load:
             raise exceptions.OverloadedError(
-                f'every endpoint of {service!r} is at its limit',
+                f'all endpoints of {service!r} are at their load limit',
                 retry_after_s=1,
             )
 
     def choose(self, service, prompt, exclude=(), policy=None):
-        """Pick an endpoint for a request.
+        """Select an endpoint for a request.
 
         :param service: the service name.
-        :param prompt: the prompt text (its start is the affinity key).
-        :param exclude: endpoint ids to leave out (already failed).
-        :param policy: a policy data class; the router's own by default.
+        :param prompt: the prompt text; its start is the affinity key.
+        :param exclude: endpoint ids to exclude, such as failed ones.
+        :param policy: a policy; the router's own by default.
         :returns: an :class:`Endpoint`.
         :raises NoEndpointError: no live endpoint serves the service.
         """
@@ -206,11 +212,11 @@
         raise TypeError(f'unknown policy {self.policy!r}')
 
     def update_endpoints(self, settings):
-        """Take over the endpoints of newly read settings.
+        """Apply the endpoints of reloaded settings.
 
-        New ones join; ones no longer listed get no new work.  One that
-        stays keeps its state and load, and one that was leaving stays
-        so: a replacement host comes with a new id.
+        New endpoints are added; those no longer listed get no new
+        requests.  The others keep their state and load.  One that is
+        leaving stays so, because a replacement host has a new id.
 
         :param settings: a list of :class:`EndpointSettings`.
         """
@@ -218,16 +224,18 @@
         for endpoint_id in self.endpoints:
             if endpoint_id not in listed:
                 self.mark(endpoint_id, EndpointState.LEAVING)
-        for endpoint_id, wanted in listed.items():
-            known = self.endpoints.get(endpoint_id)
-            if known is None:
-                self.endpoints[endpoint_id] = Endpoint.from_settings(wanted)
+        for endpoint_id, new_settings in listed.items():
+            current = self.endpoints.get(endpoint_id)
+            if current is None:
+                self.endpoints[endpoint_id] = Endpoint.from_settings(
+                    new_settings
+                )
             else:
-                known.services = frozenset(wanted.services)
+                current.services = frozenset(new_settings.services)
         self.pools.clear()
 
     def leaving(self):
-        """Return the ids of endpoints that take no new work."""
+        """Return the ids of endpoints that accept no new requests."""
         return [
             e.id
             for e in self.endpoints.values()
@@ -235,12 +243,13 @@
         ]
 
     def mark(self, endpoint_id, state):
-        """Move an endpoint forward: live, then leaving, then gone.
+        """Advance an endpoint's state: live, then leaving, then gone.
 
-        A lagging host list must not bring a leaving endpoint back, so
-        a state never moves backwards; unknown ids are ignored.
+        A state is never reverted, because the host list lags behind and
+        could otherwise make a leaving endpoint live again.  Unknown ids
+        are ignored.
 
-        :returns: ``True`` when the state changed.
+        :returns: whether the state changed.
         """
         endpoint = self.endpoints.get(endpoint_id)
         if endpoint is None:
--- a/pearrun/api/runner.py
+++ b/pearrun/api/runner.py
@@ -1,10 +1,10 @@
-"""The runner of jobs: from an accepted request to its final state.
+"""Execution of jobs, from an accepted request to its final state.
 
-An accepted request is not given up when no endpoint can serve it, or one
-fails in the middle: the job pauses and goes on elsewhere, from the last
-token it has.  There are two exceptions: a non-idempotent call that may have
-run is not made again (see :mod:`pearrun.api.calls`), and a request that
-crashes the endpoints which run it fails (see :mod:`pearrun.api.crashes`).
+A job is retried when no endpoint is available or an endpoint fails: it
+pauses and resumes on another endpoint after the last token that it has.
+There are two exceptions: a non-idempotent call that may have run is not
+repeated (see :mod:`pearrun.api.calls`), and a request that crashes the
+endpoints which run it fails (see :mod:`pearrun.api.crashes`).
 """
 
 import contextlib
@@ -89,7 +89,7 @@
         logger.warning('request failed', code=failure.code, **job.labels())
 
     async def finish(self, job, finish_reason):
-        """Publish that a job has its whole answer."""
+        """Publish that a job is complete."""
         await job.publish(state=RequestState.DONE, finish_reason=finish_reason)
         counters = self.metrics.of(job.service)
         counters.done += 1
@@ -103,7 +103,7 @@
     async def run_non_idempotent(self, job, service):
         """Run a non-idempotent job.
 
-        Its caller is told the outcome before the log is.
+        The caller gets the outcome before it is appended to the log.
         """
         outcome = await self.at_most_once_caller.call(job, service)
         if outcome.failure is not None:
@@ -117,10 +117,10 @@
             )
 
     async def run_idempotent(self, job, service):
-        """Run an idempotent job, moving on when an endpoint fails.
+        """Run an idempotent job; retry on another endpoint on failure.
 
-        :raises EndpointRefusedError: the engine refuses the request
-            itself; no other engine would take it.
+        :raises EndpointRefusedError: the engine rejected the request
+            as invalid; all other engines would, too.
         :raises CrashedEndpointsError: endpoints crash under it.
         """
         counters = self.metrics.of(job.service)
@@ -134,7 +134,7 @@
             )
             next_endpoint = None
             progress = len(job.tokens)
-            begun_ms = self.clock.now()
+            started_ms = self.clock.now()
             try:
                 next_endpoint = await self.run_on(job, service, endpoint)
             except exceptions.EndpointRefusedError:
@@ -149,7 +149,7 @@
                     check = self.crashes.check_for_crash(
                         job,
                         endpoint,
-                        self.clock.since(begun_ms),
+                        self.clock.since(started_ms),
                         len(job.tokens) > progress,
                     )
                     await self.crashes.wait_briefly(check)
@@ -162,10 +162,10 @@
             counters.moves += 1
 
     async def run_on(self, job, service, endpoint):
-        """Serve a job on one endpoint.
+        """Run a job on one endpoint.
 
         :returns: ``None`` when the job is done, or the
-            :class:`Endpoint` to go on at because this one is being
+            :class:`Endpoint` to continue on because this one is being
             reclaimed.
         """
         with self.placement.track_in_flight(job, endpoint):
@@ -181,9 +181,10 @@
                     return await self.copy_stream(job, service, endpoint)
 
     async def copy_stream(self, job, service, endpoint):
-        """Copy an engine's tokens into the job, from where it stands.
+        """Append an engine's tokens to a job, after those it has.
 
-        :returns: ``None`` at the end, or where to go on.
+        :returns: ``None`` at the end, or the :class:`Endpoint` to
+            continue on.
         """
         last_ms = None
         stream = backends.stream_tokens(
@@ -207,10 +208,11 @@
         return next_endpoint
 
     def record_token_latency(self, job, last_ms):
-        """Record the time to a token; return the time it came.
+        """Record the latency of a token: time to first token, or interval.
 
-        :param last_ms: when the stream's previous token came, or
+        :param last_ms: when the stream's previous token arrived, or
             ``None`` for its first.
+        :returns: the arrival time of this token.
         """
         now = self.clock.now()
         counters = self.metrics.of(job.service)
@@ -222,10 +224,11 @@
         return now
 
     async def choose_resume_endpoint(self, job, service):
-        """Return where a job taken over is best continued.
+        """Select where to resume a job that was taken over.
 
-        Its cache is where it ran last: there, if that endpoint stays;
-        else it is carried to another one.
+        The KV cache is on the engine that last ran the job.  The job
+        resumes there if the engine accepts new requests; else the cache
+        is transferred to another one.
 
         :returns: an :class:`Endpoint`, or ``None`` for no preference.
         """
@@ -238,7 +241,7 @@
         return target
 
     async def migrate(self, job, source, target):
-        """Stop a stream at its old engine and carry its cache along."""
+        """Transfer a stream's cache, then cancel it on the old engine."""
         if self.settings.host.move_cache:
             await transfer_cache(
                 self.session, job, source, target, MIGRATION_TIMEOUT_MS
--- a/pearrun/api/shutdown.py
+++ b/pearrun/api/shutdown.py
@@ -1,4 +1,4 @@
-"""A daemon's departure: a planned stop, or its host being reclaimed."""
+"""Graceful shutdown: a planned stop, or the reclaim of the daemon's host."""
 
 import asyncio
 
@@ -8,13 +8,13 @@
 from pearrun.clock import to_seconds
 from pearrun.states import MemberState
 
-FLUSH_MS = 2000
-HANDOVER_MS = 3000
-READERS_POLL_MS = 50
+FLUSH_TIMEOUT_MS = 2000
+HANDOVER_RESERVE_MS = 3000
+FOLLOWERS_POLL_MS = 50
 
 
 class GracefulShutdown:
-    """Finishes a daemon's work, or hands it over, and says so.
+    """Drains a daemon, hands over unfinished requests, and announces it.
 
     :param settings: the daemon's whole :class:`Settings`.
     :param dispatcher: its :class:`Dispatcher`.
@@ -31,64 +31,70 @@
         self.membership = membership
         self.clock = Clock()
         self.state = MemberState.LIVE
-        self.leaving = None
+        self.drain_task = None
 
     def begin(self):
-        """Take no more requests, and let the other daemons know."""
+        """Stop accepting requests and notify the other daemons."""
         self.dispatcher.accepting = False
         self.state = MemberState.STOPPING
         self.membership.heartbeat_requested.set()
 
     async def drain_or_hand_over(self, timeout_ms):
-        """Let running jobs end; hand over what does not end in time.
+        """Wait for running jobs to end; hand over those that do not.
 
-        :param timeout_ms: how long to wait for them.
+        :param timeout_ms: how long to wait.
         """
         try:
             async with asyncio.timeout(to_seconds(timeout_ms)):
                 await self.dispatcher.drain()
         except TimeoutError:
-            logger.warning('handing unfinished requests over')
+            logger.warning('drain timed out; handing over unfinished requests')
             await self.dispatcher.hand_over()
 
     async def stop(self):
-        """Leave because this process is told to stop.
+        """Shut down because this process was told to stop.
 
-        Callers whose requests were handed over get the rest of their
-        answers through this host before it ends.
+        Before the process ends, callers whose requests were handed over
+        receive the rest of their answers through this host.
         """
         logger.info('daemon stopping; finishing in-flight requests')
         self.begin()
         await self.drain_or_hand_over(self.settings.host.drain_timeout_ms)
         try:
-            async with asyncio.timeout(to_seconds(FLUSH_MS)):
+            async with asyncio.timeout(to_seconds(FLUSH_TIMEOUT_MS)):
                 await self.journal.flush()
         except TimeoutError:
-            logger.warning('journal not written to its end')
+            logger.warning('journal not flushed before shutdown')
         self.state = MemberState.LEFT
         await self.membership.send_heartbeat(extra=True)
-        await self.wait_for_relayed_answers()
+        await self.wait_for_followers()
 
-    async def wait_for_relayed_answers(self):
-        """Wait until no caller is being answered through this host."""
+    async def wait_for_followers(self):
+        """Wait until no caller follows a request through this host.
+
+        Waits for at most ``drain_timeout_ms``.
+        """
         deadline = self.clock.now() + self.settings.host.drain_timeout_ms
         while self.lookup.followers and self.clock.now() < deadline:
-            await asyncio.sleep(to_seconds(READERS_POLL_MS))
+            await asyncio.sleep(to_seconds(FOLLOWERS_POLL_MS))
 
     def handle_reclaim_notice(self, at_ms):
-        """Act on the announced reclaim of this daemon's own host.
+        """Handle the reclaim notice of this daemon's own host.
 
-        :param at_ms: when the host goes away.
+        :param at_ms: monotonic time of the reclaim.
         """
         if self.state == MemberState.LIVE:
             logger.warning('this host is being reclaimed')
             self.begin()
-            self.leaving = asyncio.create_task(self.drain_before(at_ms))
+            self.drain_task = asyncio.create_task(self.drain_before(at_ms))
 
     async def drain_before(self, at_ms):
-        """Hand unfinished requests over before this host goes away."""
+        """Finish or hand over all requests before the host is reclaimed.
+
+        :param at_ms: monotonic time of the reclaim.
+        """
         left_ms = at_ms - self.clock.now()
-        timeout_ms = max(0, left_ms // 2, left_ms - HANDOVER_MS)
+        timeout_ms = max(0, left_ms // 2, left_ms - HANDOVER_RESERVE_MS)
         await self.drain_or_hand_over(timeout_ms)
         self.state = MemberState.LEFT
         self.membership.heartbeat_requested.set()
--- a/pearrun/api/structures.py
+++ b/pearrun/api/structures.py
@@ -1,4 +1,4 @@
-"""Runtime records the daemon keeps: endpoints and jobs."""
+"""Runtime state of the daemon: endpoints and jobs."""
 
 import asyncio
 import dataclasses
@@ -21,9 +21,10 @@
 
 @dataclasses.dataclass
 class Endpoint:
-    """A back end as this daemon sees it now.
+    """A back end and its state as known to this daemon.
 
-    ``reclaim_at_ms`` is set once its host has a reclaim notice.
+    ``reclaim_at_ms`` is the monotonic time at which its host is
+    reclaimed; it is set on a reclaim notice.
     """
 
     id: EndpointId
@@ -49,7 +50,7 @@
 
     @property
     def load(self):
-        """Requests this daemon has running there, plus reported load."""
+        """This daemon's requests in flight there, plus the reported load."""
         return self.in_flight + self.reported_load
 
 
@@ -63,15 +64,16 @@
 
 @dataclasses.dataclass
 class Job:
-    """One accepted request and what has been answered so far.
-
-    ``started`` says that an endpoint may have begun to work on it,
-    ``attempts`` how many endpoints have, ``readers`` how many callers
-    are being answered now, and ``token_ms`` the time between tokens.
-    ``saved`` counts the tokens on the log, ``saved_ms`` says when the
-    acceptance was last written there, and ``handed_over`` that another
-    host goes on with the job.  ``durable`` says that its acceptance is
-    on the log.
+    """An accepted request and its answer so far.
+
+    ``started`` says that an endpoint may have run it, ``attempts`` is
+    the number of endpoints that did, ``readers`` the number of callers
+    that are reading the answer, and ``token_ms`` the moving average of
+    the time between tokens.  ``saved`` is the number of tokens on the
+    log, ``saved_ms`` the time when the acceptance was last written
+    there, and ``saving`` the write in progress.  ``handed_over`` says
+    that another host continues the job, and ``durable`` that its
+    acceptance is on the log.
     """
 
     id: RequestId
@@ -102,7 +104,7 @@
 
     @functools.cached_property
     def fingerprint(self):
-        """What a repeat of this request by its customer has in common."""
+        """Fingerprint that repeats of the request by its customer share."""
         return fingerprint_request(
             self.service,
             self.customer,
@@ -130,7 +132,7 @@
         return ' '.join(self.tokens)
 
     def labels(self):
-        """Return what every log line about the job carries."""
+        """Return the fields of every log line about the job."""
         return {
             'request_id': self.id,
             'customer': self.customer,
@@ -138,11 +140,11 @@
         }
 
     def update_token_interval(self, gap_ms):
-        """Let the time between two tokens into the running mean."""
+        """Add the time between two tokens to the moving average."""
         self.token_ms += INTERVAL_WEIGHT * (gap_ms - self.token_ms)
 
     async def publish(self, **changes):
-        """Update fields and wake everyone waiting on the job."""
+        """Update fields and wake all tasks that wait for the job."""
         async with self.changed:
             for name, value in changes.items():
                 setattr(self, name, value)
@@ -155,7 +157,7 @@
             self.changed.notify_all()
 
     async def wait_for_tokens(self, count):
-        """Wait for more than ``count`` tokens or the job's end here."""
+        """Wait until there are more than ``count`` tokens or the job ends."""
         async with self.changed:
             await self.changed.wait_for(
                 lambda: len(self.tokens) > count or self.ended_here
--- a/pearrun/api/tokenbucket.py
+++ b/pearrun/api/tokenbucket.py
@@ -1,9 +1,10 @@
-"""Sharing the log service's append rate between the daemons.
+"""Rate limit of journal appends, shared between the daemons.
 
-The log takes several hundred appends a second from everybody
-together.  Each daemon keeps to its part of the journals' share: the
-more daemons are alive, the longer the pause between a daemon's
-journal appends, and the more entries go out in each.
+The log service takes several hundred appends per second from all
+daemons together, and a fixed fraction of this rate is for journals.
+Each daemon limits itself to an equal part of it: the more daemons are
+alive, the longer the interval between a daemon's journal appends, and
+the more entries each append holds.
 """
 
 from pearrun.clock import Clock
@@ -15,8 +16,8 @@
 class TokenBucket:
     """A token bucket for one daemon's journal appends.
 
-    :param appends_per_s: what the log service takes a second.
-    :param count_daemons: returns how many daemons are alive.
+    :param appends_per_s: the append rate of the log service.
+    :param count_daemons: returns the number of live daemons.
     """
 
     def __init__(self, appends_per_s, count_daemons):
@@ -28,14 +29,14 @@
 
     @property
     def interval_ms(self):
-        """The mean pause between this daemon's appends."""
+        """Mean interval between this daemon's appends."""
         writers = max(1, self.count_daemons())
         return 1000 * writers / (self.appends_per_s * JOURNAL_RATE_FRACTION)
 
     def reserve(self):
-        """Take an append from the bucket.
+        """Reserve one append.
 
-        :returns: milliseconds to wait before making it.
+        :returns: milliseconds to wait before the append.
         """
         now = self.clock.now()
         refill = (now - self.refilled_ms) / self.interval_ms
--- a/pearrun/api/watchdog.py
+++ b/pearrun/api/watchdog.py
@@ -1,16 +1,16 @@
-"""Ending a stream that has fallen silent."""
+"""Inactivity timeout of a stream."""
 
 import asyncio
 
 
 class Watchdog:
-    """Calls back once nothing has been heard for a while.
+    """Calls a function after a time without activity.
 
-    A token costs one attribute store; the timer is set again only when
-    it fires, not for each token.
+    A reset only stores the time: the timer is rescheduled when it
+    expires and not for each token, which would cost more.
 
-    :param timeout_s: seconds of silence that are too long.
-    :param on_timeout: called once, without arguments, when they passed.
+    :param timeout_s: seconds without activity until the timeout.
+    :param on_timeout: called once, without arguments, on the timeout.
     """
 
     def __init__(self, timeout_s, on_timeout):
@@ -21,11 +21,11 @@
         self.timer = self.loop.call_later(timeout_s, self.check)
 
     def reset(self):
-        """Note that something was heard."""
+        """Record activity."""
         self.last_activity_s = self.loop.time()
 
     def check(self):
-        """Call back if the silence was too long, else look again later."""
+        """Call ``on_timeout`` if the time has passed, else reschedule."""
         left = self.last_activity_s + self.timeout_s - self.loop.time()
         if left > 0:
             self.timer = self.loop.call_later(left, self.check)
@@ -33,5 +33,5 @@
             self.on_timeout()
 
     def stop(self):
-        """Stop watching."""
+        """Cancel the timer."""
         self.timer.cancel()
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -111,7 +111,9 @@
     for number in range(size):
         watcher.receive(member(number).to_heartbeat())
     assert time.process_time() - began_s < builders.MAX_CPU_S
-    assert size * 1000 / watcher.pause_ms <= MAX_HEARTBEATS_PER_S + 1
+    assert (
+        size * 1000 / watcher.heartbeat_interval_ms <= MAX_HEARTBEATS_PER_S + 1
+    )
 
 
 def test_poll_that_overlaps_another_counts_no_beat_twice():
