--- a/pearrun/api/peers.py
+++ b/pearrun/api/peers.py
@@ -161,9 +161,7 @@
                 message = await self.next_message(link)
                 await websocket.send(self.encode(message))
                 if self.clock.since(link.last_seen_ms) > timeout_ms:
-                    raise TimeoutError(
-                        f'no message from {link.url} for {timeout_ms} ms'
-                    )
+                    raise TimeoutError(f'{link.url} sent no message')
         finally:
             listen_task.cancel()
             with contextlib.suppress(
--- a/pearrun/api/tokenbucket.py
+++ b/pearrun/api/tokenbucket.py
@@ -1,10 +1,10 @@
 """Rate limit of journal appends, shared between the daemons.
 
-The log service takes several hundred appends per second from all
-daemons together, and a fixed fraction of this rate is for journals.
-Each daemon limits itself to an equal part of it: the more daemons are
-alive, the longer the interval between a daemon's journal appends, and
-the more entries each append holds.
+The log service takes several hundred appends a second from all
+daemons together.  A fixed part of this rate is for journals, and each
+daemon limits itself to an equal part of that rate.  Therefore, the
+more daemons are alive, the longer the pause between a daemon's
+journal appends, and the more entries go out in each.
 """
 
 from pearrun.clock import Clock
@@ -16,8 +16,8 @@
 class TokenBucket:
     """A token bucket for one daemon's journal appends.
 
-    :param appends_per_s: the append rate of the log service.
-    :param count_daemons: returns the number of live daemons.
+    :param appends_per_s: what the log service takes a second.
+    :param count_daemons: returns how many daemons are alive.
     """
 
     def __init__(self, appends_per_s, count_daemons):
@@ -25,7 +25,7 @@
         self.count_daemons = count_daemons
         self.clock = Clock()
         self.tokens = BURST_APPENDS
-        self.refilled_ms = self.clock.now()
+        self.filled_ms = self.clock.now()
 
     @property
     def interval_ms(self):
@@ -39,8 +39,8 @@
         :returns: milliseconds to wait before the append.
         """
         now = self.clock.now()
-        refill = (now - self.refilled_ms) / self.interval_ms
+        refill = (now - self.filled_ms) / self.interval_ms
         self.tokens = min(BURST_APPENDS, self.tokens + refill)
-        self.refilled_ms = now
+        self.filled_ms = now
         self.tokens -= 1
         return max(0.0, -self.tokens * self.interval_ms)
--- a/tests/builders.py
+++ b/tests/builders.py
@@ -1,4 +1,4 @@
-"""Builders of test data, and small fakes at pearrun's interfaces."""
+"""Builders of test data, and fakes of pearrun's interfaces."""
 
 import asyncio
 import dataclasses
@@ -32,24 +32,24 @@
 PLAIN_SERVICES = ['alarme-svc', 'licence-records']
 SERVICES_OF = {'engine': ENGINE_SERVICES, 'service': PLAIN_SERVICES}
 
-# Processor time of one example of a property; 0.001 to 0.009 s, measured.
-# Time of day would count other processes' work too: 0.46 s and 0.55 s of it
-# beside 20 of them.
+# Limit of the CPU time of one example of a property, which takes 0.001 to
+# 0.009 s.  Wall-clock time would include the work of other processes: 0.46 s
+# and 0.55 s beside 20 of them.
 MAX_CPU_S = 0.2
 
 
-# Below the range from which the kernel takes clients' own ports.
+# Below the range of the kernel's ephemeral ports.
 FIRST_PORT, LAST_PORT = 20_000, 32_000
-# Test runs that go on at the same time take their ports from blocks of their
-# own: a port that is free when it is chosen may not be so when it is bound.
+# Concurrent test runs use separate blocks of ports, because a port that is
+# free when it is chosen may be in use when it is bound.
 BLOCK_PORTS = 400
 HELD_BLOCKS = []
 
 
 def choose_ports():
-    """Yield ports from blocks that this run holds, each one only once.
+    """Yield ports from blocks that this test run has reserved, each once.
 
-    A block is held by listening on its first port until the run ends.
+    A block is reserved by listening on its first port until the run ends.
     """
     blocks = list(range(FIRST_PORT, LAST_PORT, BLOCK_PORTS))
     first = os.getpid() % len(blocks)
@@ -68,11 +68,11 @@
 PORTS = choose_ports()
 
 
-def free_port():
-    """Return a TCP port on 127.0.0.1 that is free, each one only once.
+def find_free_port():
+    """Return a free TCP port on 127.0.0.1, each port only once.
 
-    Asking the kernel for any free port gives the same one again while
-    nobody has bound it, and sanic lets two processes share a port.
+    The kernel is not asked for a free port, because it returns the same
+    one again until it is bound, and sanic lets two processes share it.
     """
     for port in PORTS:
         with socket.socket() as sock:
@@ -81,11 +81,11 @@
             except OSError:
                 continue
             return port
-    raise RuntimeError('no port is left')
+    raise RuntimeError('no free port is left')
 
 
 def team_tree(version=0):
-    """Return the test team tree at a version."""
+    """Return the team tree of the tests with a version."""
     tree = settings_module.parse_yaml(TEAM_TREE_YAML, settings_module.TeamTree)
     return tree.model_copy(update={'version': version})
 
@@ -104,7 +104,7 @@
     )
 
 
-def daemon_settings_yaml(name, zone, port, log_url, endpoints, peers=()):
+def build_daemon_settings_yaml(name, zone, port, log_url, endpoints, peers=()):
     """Return a daemon's settings file as YAML text.
 
     :param endpoints: ``(id, zone, url, kind)`` tuples.
@@ -131,7 +131,7 @@
 
 
 def settings(name='bv-1', zone='boa-viagem', **platform):
-    """Return a daemon's whole :class:`Settings` over no real platform."""
+    """Return a daemon's whole :class:`Settings`; its platform is fake."""
     tree = {
         'host': {'name': name, 'zone': zone, 'listen': {'port': 8101}},
         'platform': {'log_url': 'http://127.0.0.1:1', **platform},
@@ -140,7 +140,7 @@
 
 
 def accepted(request_id, service='pearrun-oficina', key=None):
-    """Return an acceptance entry."""
+    """Return the journal entry of an acceptance."""
     return entries.Accepted(
         id=request_id,
         customer='sinal-recife',
@@ -153,7 +153,7 @@
 
 @dataclasses.dataclass
 class FakeStream:
-    """One stream of the fake log; ``first`` grows as records expire."""
+    """One stream of the fake log; ``first`` increases on expiry."""
 
     first: int = 0
     records: list = dataclasses.field(default_factory=list)
@@ -166,11 +166,12 @@
 class FakeLog:
     """An in-memory log service with the :class:`LogClient` interface.
 
-    ``down`` makes every call fail as an outage would; ``lose_answers``
-    applies that many appends and loses the answers, and then as many
-    appends again as ``lose_after`` says; ``lose_appends``
-    loses that many appends before they are applied; ``delay_appends``
-    keeps that many on the way, told as lost, until :meth:`deliver`.
+    ``down`` makes every call fail, as in an outage.  The others are
+    numbers of appends: ``lose_answers`` are applied although their
+    answers are lost, and each adds ``lose_after`` to ``lose_appends``;
+    ``lose_appends`` are lost before they are applied; ``delay_appends``
+    are reported as lost and applied by :meth:`deliver`.
+    ``down_after_loss`` starts an outage after a lost answer.
     """
 
     def __init__(self):
@@ -191,7 +192,7 @@
         return list(self.stream(name).records)
 
     def expire(self, name, count):
-        """Drop a stream's oldest records, as retention does."""
+        """Remove a stream's oldest records, as at the end of retention."""
         stream = self.stream(name)
         count = min(count, len(stream.records))
         del stream.records[:count]
@@ -205,7 +206,7 @@
         return Offset(stream.head - 1)
 
     def deliver(self):
-        """Let the appends that were under way arrive."""
+        """Apply the delayed appends."""
         arriving, self.under_way = self.under_way, []
         for append in arriving:
             try:
--- a/tests/cluster.py
+++ b/tests/cluster.py
@@ -124,7 +124,7 @@
 
     def plan(self, name, kind, zone='-'):
         """Reserve a name and a port."""
-        self.ports[name] = builders.free_port()
+        self.ports[name] = builders.find_free_port()
         self.kinds[name] = kind
         self.zone_of[name] = zone
 
@@ -171,7 +171,7 @@
     def start_link(self, name, target):
         """Start a link in front of a process's port."""
         self.plan(name, 'link')
-        self.carried[name] = builders.free_port()
+        self.carried[name] = builders.find_free_port()
         self.start_standin(
             name,
             f'--listen_port={self.carried[name]}',
--- a/tests/platformsite.py
+++ b/tests/platformsite.py
@@ -22,7 +22,7 @@
 from pearrun.standins.platformsite import make_settings_fields
 from pearrun.standins.platformsite import StandinSite
 from pearrun.standins.platformsite import STREAM_HOST
-from tests.builders import free_port
+from tests.builders import find_free_port
 
 
 class FakeLogWriter:
@@ -50,21 +50,21 @@
 
     def __init__(self):
         super().__init__(
-            f'127.0.0.1:{free_port()}', f'127.0.0.1:{free_port()}'
+            f'127.0.0.1:{find_free_port()}', f'127.0.0.1:{find_free_port()}'
         )
         self.hosts = {}
         # Differs from that of other test runs on this machine, since the
         # metrics port is fixed.
         self.subnet = 1 + os.getpid() % 250
         self.ports = {
-            'front': free_port(),
-            'ready': free_port(),
-            'peer': free_port(),
+            'front': find_free_port(),
+            'ready': find_free_port(),
+            'peer': find_free_port(),
         }
 
     async def add_runner(self, name, service, address=None, zone='zone-a'):
         """Start an endpoint on a free port."""
-        address = address or f'127.0.0.1:{free_port()}'
+        address = address or f'127.0.0.1:{find_free_port()}'
         return await super().add_runner(name, service, address, zone)
 
     async def add_host(self, number=1, zone='zone-a', **bounds):
--- a/tests/soak/site.py
+++ b/tests/soak/site.py
@@ -16,7 +16,7 @@
 from pearrun.standins.platformsite import make_settings_fields
 from pearrun.standins.platformsite import render_settings
 from pearrun.standins.platformsite import StandinSite
-from tests.builders import free_port
+from tests.builders import find_free_port
 from tests.soak.process import HostProcess
 
 GRACE_S = 4
@@ -64,7 +64,7 @@
 
     def __init__(self, directory, hosts, places):
         super().__init__(
-            f'127.0.0.1:{free_port()}', f'127.0.0.1:{free_port()}'
+            f'127.0.0.1:{find_free_port()}', f'127.0.0.1:{find_free_port()}'
         )
         self.directory = pathlib.Path(directory)
         self.host_names = hosts
@@ -79,9 +79,9 @@
         self.clock = Clock()
         self.tasks = set()
         self.ports = {
-            'front': free_port(),
-            'ready': free_port(),
-            'peer': free_port(),
+            'front': find_free_port(),
+            'ready': find_free_port(),
+            'peer': find_free_port(),
         }
 
     async def start(self):
@@ -117,7 +117,7 @@
 
         :returns: the address it listens on.
         """
-        port = free_port()
+        port = find_free_port()
         link = self.links[name] = Link(LinkConfig(port, target))
         await link.start()
         return f'127.0.0.1:{port}'
@@ -142,7 +142,7 @@
         if same_address:
             await runner.listen(place.link.config.target)
         else:
-            await runner.listen(f'127.0.0.1:{free_port()}')
+            await runner.listen(f'127.0.0.1:{find_free_port()}')
             await self.add_link(f'endpoint-{place.name}', runner.address)
             place.link = self.links[f'endpoint-{place.name}']
         place.runner = self.runners[name] = runner
--- a/tests/test_calls.py
+++ b/tests/test_calls.py
@@ -1,4 +1,4 @@
-"""A non-idempotent call's caller never waits for the log's sake."""
+"""Non-idempotent calls: log outages and retries."""
 
 import asyncio
 
@@ -15,8 +15,8 @@
 from tests import builders
 
 
-def play(monkeypatch, scenario):
-    """Run ``scenario(log, runner, job, service)`` over a fake log."""
+def run_scenario(monkeypatch, scenario):
+    """Run ``scenario(log, job, running)`` with a job on a fake log."""
 
     async def main():
         log = builders.FakeLog()
@@ -44,13 +44,16 @@
     return asyncio.run(main())
 
 
-def test_failed_call_is_told_at_once_while_the_log_is_down(monkeypatch):
-    """And its outcome is published when the log is back."""
+def test_failed_call_is_reported_during_log_outage(monkeypatch):
+    """Guards against callers that wait for the log after a failed call.
+
+    The outcome is published once the log is available again.
+    """
     logs = []
 
     async def fail(session, endpoint, job, host):
         logs[0].down = True
-        raise exceptions.BackendError('broke in the middle')
+        raise exceptions.BackendError('connection lost during the call')
 
     monkeypatch.setattr(backends, 'call_service', fail)
 
@@ -65,11 +68,11 @@
             await running
         return [v for name in log.streams for v in log.values(name)]
 
-    values = play(monkeypatch, scenario)
+    values = run_scenario(monkeypatch, scenario)
     assert [v['kind'] for v in values] == ['claimed', 'unknown']
 
 
-def test_call_that_took_no_connection_is_made_elsewhere(monkeypatch):
+def test_call_without_connection_is_retried(monkeypatch):
     calls = []
 
     async def answer_second(session, endpoint, job, host):
@@ -85,6 +88,6 @@
             await running
         return job
 
-    job = play(monkeypatch, scenario)
+    job = run_scenario(monkeypatch, scenario)
     assert job.state == RequestState.DONE
     assert len(calls) == 2
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -1,4 +1,4 @@
-"""At most one request wins an idempotency key, whatever is lost."""
+"""At most one request gets an idempotency key, despite log failures."""
 
 import asyncio
 import time
@@ -25,11 +25,11 @@
 )
 @hypothesis_settings(deadline=None)
 def test_one_winner_despite_lost_answers_and_outages(attempts):
-    """Each attempt: (request number, answer lost, log down)."""
+    """Each attempt is (request number, answer lost, log down)."""
     log = builders.FakeLog()
     key_claims = claims_module.KeyClaims(log)
     winners = []
-    began_s = time.process_time()
+    start_s = time.process_time()
 
     async def scenario():
         for number, lost, down in attempts:
@@ -44,15 +44,15 @@
         log.down = False
 
     asyncio.run(scenario())
-    assert time.process_time() - began_s < builders.MAX_CPU_S
+    assert time.process_time() - start_s < builders.MAX_CPU_S
     assert len(winners) <= 1
     held = log.values(claims_module.get_claim_stream('alarme-svc/k'))
     if winners:
         assert held[0]['holder'] == f'd{winners[0]}'
 
 
-def test_same_request_claimed_again_by_an_adopter_does_not_win():
-    """A claim belongs to an attempt, not to a request id."""
+def test_request_claimed_again_after_takeover_does_not_win():
+    """A claim belongs to an attempt and not to a request."""
     log = builders.FakeLog()
     key_claims = claims_module.KeyClaims(log)
 
@@ -65,8 +65,12 @@
     assert asyncio.run(scenario()) == (True, False, False)
 
 
-def test_claim_whose_answer_was_lost_before_an_outage_is_still_ours():
-    """Else the call would never be made: an alarm lost."""
+def test_claim_with_lost_answer_is_recovered_after_an_outage():
+    """Guards against a call that is never made, such as a lost alarm.
+
+    The claim was written, but its answer was lost in an outage.  The
+    same attempt must recognize the claim as its own.
+    """
     log = builders.FakeLog()
     key_claims = claims_module.KeyClaims(log)
     key, attempt = 'alarme-svc/k', claims_module.generate_attempt_id()
@@ -81,8 +85,8 @@
     assert asyncio.run(scenario()).won
 
 
-def test_dead_holder_gives_unknown_and_the_late_answer_loses():
-    """A paused holder that wakes cannot turn ``unknown`` into done."""
+def test_late_answer_does_not_replace_unknown_outcome():
+    """A holder that was paused cannot replace ``unknown`` by an answer."""
     log = builders.FakeLog()
     key_claims = claims_module.KeyClaims(log)
     key = 'licence-records/k'
@@ -98,7 +102,7 @@
     asyncio.run(scenario())
 
 
-def test_key_older_than_retention_is_not_run_again():
+def test_call_with_key_older_than_retention_is_not_repeated():
     log = builders.FakeLog()
     key_claims = claims_module.KeyClaims(log)
     key = 'licence-records/k'
@@ -113,10 +117,10 @@
 
 
 class AtMostOnce(stateful.RuleBasedStateMachine):
-    """Hosts make one key's call, freeze in the middle, and wake up.
+    """Hosts that make the call of one key, and are paused meanwhile.
 
-    Whatever the log loses and whoever is taken for dead, the service
-    runs the call at most once.
+    The service runs the call at most once, whichever appends or answers
+    are lost and whichever hosts are declared dead.
     """
 
     def __init__(self):
@@ -125,64 +129,64 @@
         self.log = builders.FakeLog()
         self.claims = claims_module.KeyClaims(self.log)
         self.executions = 0
-        self.thawed = [self.loop.create_future() for _ in range(3)]
-        for thawed in self.thawed:
-            thawed.set_result(None)
-        self.work = []
+        self.resumed = [self.loop.create_future() for _ in range(3)]
+        for resumed in self.resumed:
+            resumed.set_result(None)
+        self.tasks = []
 
-    def settle(self):
+    def run_pending(self):
         self.loop.run_until_complete(asyncio.sleep(0.002))
 
     def teardown(self):
         self.log.down = False
         for number in range(3):
-            self.freeze(number, False)
-        for task in self.work:
+            self.pause(number, False)
+        for task in self.tasks:
             task.cancel()
-        self.settle()
+        self.run_pending()
         self.loop.close()
 
     async def handle(self, number):
-        """What a daemon does with a job, with pauses in between."""
+        """Handle a job as a daemon does; it may be paused at each step."""
         holder = f'requests.h{number}.1'
         try:
             claim = await self.claims.claim(KEY, holder)
-            await asyncio.shield(self.thawed[number])
+            await asyncio.shield(self.resumed[number])
             if claim.won:
                 self.executions += 1
-                await asyncio.shield(self.thawed[number])
+                await asyncio.shield(self.resumed[number])
                 await self.claims.publish(KEY, claims_module.ANSWERED, 'a')
             else:
-                await self.claims.wait_outcome(KEY, 20, self.suspects)
+                await self.claims.wait_outcome(KEY, 20, self.appears_dead)
         except (exceptions.OutcomeUnknownError, exceptions.CapacityError):
             return
 
-    def suspects(self, holder):
-        """A frozen holder looks dead to the others."""
+    def appears_dead(self, holder):
+        """Return whether a holder is paused and thus appears dead."""
         number = int(holder.split('.')[1].removeprefix('h'))
-        return not self.thawed[number].done()
+        return not self.resumed[number].done()
 
     @stateful.rule(number=st.integers(0, 2))
-    def arrive(self, number):
-        self.work.append(self.loop.create_task(self.handle(number)))
-        self.settle()
-
-    @stateful.rule(number=st.integers(0, 2), frozen=st.booleans())
-    def freeze(self, number, frozen):
-        if frozen and self.thawed[number].done():
-            self.thawed[number] = self.loop.create_future()
-        elif not frozen and not self.thawed[number].done():
-            self.thawed[number].set_result(None)
-        self.settle()
+    def receive_request(self, number):
+        self.tasks.append(self.loop.create_task(self.handle(number)))
+        self.run_pending()
+
+    @stateful.rule(number=st.integers(0, 2), paused=st.booleans())
+    def pause(self, number, paused):
+        if paused and self.resumed[number].done():
+            self.resumed[number] = self.loop.create_future()
+        elif not paused and not self.resumed[number].done():
+            self.resumed[number].set_result(None)
+        self.run_pending()
 
     @stateful.rule(
         down=st.booleans(), answers=st.integers(0, 2), late=st.integers(0, 2)
     )
-    def fault(self, down, answers, late):
+    def set_faults(self, down, answers, late):
         self.log.down = down
         self.log.lose_answers = answers
         self.log.delay_appends = late
-        self.settle()
+        self.run_pending()
 
     @stateful.rule()
     def deliver_late_appends(self):
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -6,7 +6,7 @@
 import pytest
 
 from pearrun import cli
-from tests.builders import free_port
+from tests.builders import find_free_port
 
 
 def test_a_slow_log_service_is_waited_for(capsys):
@@ -21,7 +21,7 @@
         app.router.add_route('*', '/{path:.*}', answer)
         runner = web.AppRunner(app)
         await runner.setup()
-        port = free_port()
+        port = find_free_port()
         await web.TCPSite(runner, '127.0.0.1', port).start()
         with pytest.MonkeyPatch.context() as patch:
             patch.setattr(cli.FLAGS, 'log_url', f'http://127.0.0.1:{port}')
--- a/tests/test_crashes.py
+++ b/tests/test_crashes.py
@@ -10,7 +10,7 @@
 from pearrun.shared.fleet import EndpointRecord
 from pearrun.shared.fleet import Fleet
 from pearrun.states import EndpointState
-from tests.builders import free_port
+from tests.builders import find_free_port
 
 
 class CrashRecorder(list):
@@ -212,7 +212,9 @@
 def test_an_endpoint_that_only_closes_connections_has_not_crashed():
     async def main():
         server = await asyncio.start_server(
-            lambda reader, writer: writer.close(), '127.0.0.1', free_port()
+            lambda reader, writer: writer.close(),
+            '127.0.0.1',
+            find_free_port(),
         )
         host, port = server.sockets[0].getsockname()
         down = await check_endpoint(f'{host}:{port}')
@@ -223,4 +225,4 @@
 
 
 def test_an_endpoint_that_refuses_connections_is_found_down():
-    assert asyncio.run(check_endpoint(f'127.0.0.1:{free_port()}'))
+    assert asyncio.run(check_endpoint(f'127.0.0.1:{find_free_port()}'))
--- a/tests/test_dispatcher.py
+++ b/tests/test_dispatcher.py
@@ -1,4 +1,4 @@
-"""Jobs on the journal: kept past retention, handed over with tokens."""
+"""Jobs in the journal: retention, handover and acceptance."""
 
 import asyncio
 
@@ -12,24 +12,24 @@
 from pearrun.metrics import MetricsTable
 from tests import builders
 
-WORDS = [f't{i}' for i in range(8)]
+TOKENS = [f't{i}' for i in range(8)]
 
 
 class FakeRunner:
-    """Adds one token every few milliseconds, up to ``until``."""
+    """Adds a token every 5 ms, up to ``until`` tokens."""
 
-    def __init__(self, until=len(WORDS)):
+    def __init__(self, until=len(TOKENS)):
         self.until = until
 
     async def run(self, job, service):
         while len(job.tokens) < self.until:
             await asyncio.sleep(0.005)
-            await job.add_token(WORDS[len(job.tokens)])
+            await job.add_token(TOKENS[len(job.tokens)])
         await asyncio.sleep(60)
 
 
-def play(scenario, until=len(WORDS), **platform):
-    """Run ``scenario(log, dispatcher)`` with the background tasks going."""
+def run_scenario(scenario, until=len(TOKENS), **platform):
+    """Run ``scenario(log, dispatcher)`` with the background tasks."""
 
     async def main():
         log = builders.FakeLog()
@@ -67,19 +67,19 @@
     )
 
 
-def test_running_job_is_written_again_before_retention_drops_it():
+def test_running_job_is_journaled_again_before_retention_ends():
     async def scenario(log, dispatcher):
         job = await submit(dispatcher)
         await asyncio.sleep(0.9)
         log.expire(dispatcher.journal.stream, 2)
         return job, await read_ledger(log, dispatcher.journal.stream)
 
-    job, ledger = play(scenario, retention_ms=1000)
+    job, ledger = run_scenario(scenario, retention_ms=1000)
     assert set(ledger.unfinished) == {job.id}
-    assert list(ledger.progress[job.id].tokens) == WORDS
+    assert list(ledger.progress[job.id].tokens) == TOKENS
 
 
-def test_finished_job_is_not_written_again():
+def test_finished_job_is_not_journaled_again():
     async def scenario(log, dispatcher):
         job = await submit(dispatcher)
         await dispatcher.cancel(job)
@@ -87,23 +87,23 @@
         await asyncio.sleep(0.9)
         return before, len(log.values(dispatcher.journal.stream))
 
-    before, after = play(scenario, retention_ms=1000)
+    before, after = run_scenario(scenario, retention_ms=1000)
     assert before == after
 
 
-def test_hand_over_leaves_the_tokens_on_the_log():
+def test_handover_saves_the_tokens_on_the_log():
     async def scenario(log, dispatcher):
         job = await submit(dispatcher)
         await job.wait_for_tokens(2)
         await dispatcher.hand_over()
         return job, await read_ledger(log, dispatcher.journal.stream)
 
-    job, ledger = play(scenario)
+    job, ledger = run_scenario(scenario)
     assert job.handed_over
     assert list(ledger.progress[job.id].tokens) == job.tokens
 
 
-def test_adopted_job_goes_on_behind_its_tokens():
+def test_adopted_job_resumes_after_its_tokens():
     async def scenario(log, dispatcher):
         job = await submit(dispatcher)
         await job.wait_for_tokens(2)
@@ -115,13 +115,16 @@
         await adopted.wait_for_tokens(7)
         return adopted
 
-    adopted = play(scenario)
-    assert adopted.tokens == WORDS
+    adopted = run_scenario(scenario)
+    assert adopted.tokens == TOKENS
     assert adopted.attempts == 1
 
 
-def test_host_that_finds_its_journal_sealed_accepts_into_a_new_one():
-    """As after a partition: the first caller is not to be refused."""
+def test_host_with_a_sealed_journal_accepts_into_a_new_one():
+    """Guards against a refusal of the first request after a partition.
+
+    During the partition, another host has sealed this one's journal.
+    """
 
     async def scenario(log, dispatcher):
         old = dispatcher.journal.stream
@@ -131,39 +134,39 @@
         new = dispatcher.journal.stream
         return old, job, await read_ledger(log, new)
 
-    old, job, ledger = play(scenario)
+    old, job, ledger = run_scenario(scenario)
     assert set(ledger.unfinished) == {job.id}
     assert journal_module.stream_of(job.id) == ledger.stream != old
 
 
-def test_caller_that_leaves_while_being_accepted_leaves_no_orphan():
-    """A journaled request is run although its caller has gone."""
+def test_request_runs_when_its_caller_disconnects_during_acceptance():
+    """Guards against journaled requests that are never run."""
 
     async def scenario(log, dispatcher):
-        asking = asyncio.create_task(submit(dispatcher))
+        acceptance = asyncio.create_task(submit(dispatcher))
         await asyncio.sleep(0)
-        asking.cancel()
+        acceptance.cancel()
         await asyncio.sleep(0.05)
         ledger = await read_ledger(log, dispatcher.journal.stream)
         return set(ledger.unfinished), set(dispatcher.running)
 
-    unfinished, running = play(scenario)
+    unfinished, running = run_scenario(scenario)
     assert unfinished == running
     assert len(running) == 1
 
 
-def test_waiting_caller_is_journaled_once_the_log_is_back():
+def test_request_served_during_outage_is_journaled_after_it():
     async def scenario(log, dispatcher):
         log.down = True
         body = CompletionBody(model='pearrun-oficina', prompt='p')
         job = await dispatcher.submit(body, require_durable=False)
-        told = job.durable
+        was_durable = job.durable
         log.down = False
         await asyncio.sleep(0.1)
         ledger = await read_ledger(log, dispatcher.journal.stream)
-        return told, job, ledger
+        return was_durable, job, ledger
 
-    told, job, ledger = play(scenario)
-    assert not told
+    was_durable, job, ledger = run_scenario(scenario)
+    assert not was_durable
     assert job.durable
     assert set(ledger.unfinished) == {job.id}
--- a/tests/test_http1_server.py
+++ b/tests/test_http1_server.py
@@ -6,7 +6,7 @@
 
 from pearrun.http1.limits import ServerLimits
 from pearrun.http1.server import Server
-from tests.builders import free_port
+from tests.builders import find_free_port
 
 LIMITS = ServerLimits(
     max_header_bytes=2000,
@@ -44,7 +44,7 @@
 
     async def main():
         server = Server(recorder.handle, lambda: LIMITS)
-        address = ('127.0.0.1', free_port())
+        address = ('127.0.0.1', find_free_port())
         await server.listen(f'{address[0]}:{address[1]}')
         reader, writer = await asyncio.open_connection(*address)
         size = max(1, len(data) // pieces)
@@ -155,7 +155,7 @@
         recorder = Recorder()
         recorder.hold = asyncio.Event()
         server = Server(recorder.handle, lambda: LIMITS)
-        port = free_port()
+        port = find_free_port()
         await server.listen(f'127.0.0.1:{port}')
         _, writer = await asyncio.open_connection('127.0.0.1', port)
         writer.write(make_request())
@@ -175,7 +175,7 @@
     async def main():
         recorder = Recorder()
         server = Server(recorder.handle, lambda: LIMITS)
-        port = free_port()
+        port = find_free_port()
         await server.listen(f'127.0.0.1:{port}')
         reader, writer = await asyncio.open_connection('127.0.0.1', port)
         head = make_request(b'/e', b'abc', b'Expect: 100-continue\r\n')
--- a/tests/test_job_crashes.py
+++ b/tests/test_job_crashes.py
@@ -1,4 +1,4 @@
-"""Jobs whose request crashes each engine that runs it."""
+"""Jobs that crash each engine which runs them."""
 
 import asyncio
 
@@ -21,12 +21,12 @@
 
 
 def make_runner():
-    """Return a runner with engines at whose addresses nothing listens."""
+    """Return a runner whose engines do not listen at their addresses."""
     log = builders.FakeLog()
     settings = builders.settings()
     engines = [builders.endpoint(number) for number in range(ENGINES)]
     for engine in engines:
-        engine.url = f'http://127.0.0.1:{builders.free_port()}'
+        engine.url = f'http://127.0.0.1:{builders.find_free_port()}'
     return Runner(
         settings,
         None,
@@ -39,19 +39,20 @@
 
 
 def make_job(request_id='h.1.a', prompt='crash'):
-    """Return a job of an engine."""
+    """Return a job for an engine."""
     return Job(request_id, 'c', 'pearrun-oficina', prompt, 8, 0, 0)
 
 
 async def crash_engines(crashes, numbers):
-    """Have engines crash under a job, one after the other."""
+    """Let engines crash under a job, one after another."""
     for number in numbers:
         engine = builders.endpoint(number)
-        engine.url = f'http://127.0.0.1:{builders.free_port()}'
+        engine.url = f'http://127.0.0.1:{builders.find_free_port()}'
         await crashes.check_for_crash(make_job(), engine, 5, False)
 
 
-def test_a_job_that_crashes_engines_crashes_them_all(monkeypatch):
+def test_a_job_that_crashes_engines_fails(monkeypatch):
+    """Guards against a job whose retries crash all engines."""
     crashed = []
 
     async def crash(session, endpoint, job, priority, host):
@@ -76,7 +77,7 @@
     assert job.failure.code == 1509
 
 
-def test_a_job_that_gets_tokens_before_each_crash_is_finished(monkeypatch):
+def test_a_job_with_progress_before_each_crash_is_completed(monkeypatch):
     async def crash_later(session, endpoint, job, priority, host):
         yield len(job.tokens), 'token'
         if len(job.tokens) < job.max_tokens:
@@ -107,7 +108,7 @@
             await crash_engines(daemon, [number])
             for other in daemons:
                 other.receive(daemon.describe())
-        # One that starts now reads the beats of daemons that have ended.
+        # A daemon that starts later reads the heartbeats of stopped daemons.
         daemons.append(JobCrashTracker())
         daemons[-1].receive(daemons[0].describe())
         for daemon in daemons:
@@ -141,7 +142,7 @@
     assert job.failure.code == 1509
 
 
-def test_malformed_suspects_in_a_beat_are_left_aside():
+def test_malformed_suspects_in_a_heartbeat_are_ignored():
     crashes = JobCrashTracker()
     crashes.receive([['f', None, [['e', 'no number', 1, False]]], 7])
     assert not crashes.quarantine.known.suspects
--- a/tests/test_journal.py
+++ b/tests/test_journal.py
@@ -53,7 +53,7 @@
     def is_dead(self, stream):
         return stream in self.dead
 
-    def forget(self, stream):
+    def remove(self, stream):
         pass
 
 
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -1,4 +1,4 @@
-"""Orders: an older one never stands, whether engines check or not."""
+"""Orders: an older one never stays in effect, with or without fencing."""
 
 import asyncio
 
@@ -16,17 +16,17 @@
 
 
 class FakeEngine:
-    """An engine that checks fencing numbers, or ignores them."""
+    """An engine that checks fencing tokens, or ignores them."""
 
     def __init__(self, checks):
         self.checks = checks
-        self.taken = []
+        self.accepted = []
 
-    def take(self, order):
-        newest = max((o.fencing for o in self.taken), default=-1)
+    def accept(self, order):
+        newest = max((o.fencing for o in self.accepted), default=-1)
         if self.checks and order.fencing < newest:
             raise exceptions.StaleOrderError('stale')
-        self.taken.append(order)
+        self.accepted.append(order)
 
 
 class FakeMembership:
@@ -34,8 +34,8 @@
         return []
 
 
-class Keeper(orders_module.OrderReconciler):
-    """An order keeper that talks to a fake engine."""
+class FakeEngineReconciler(orders_module.OrderReconciler):
+    """An order reconciler with a fake engine."""
 
     def __init__(self, log, engine):
         settings = builders.settings()
@@ -51,12 +51,12 @@
         self.before_send = None
 
     async def read_orders(self, endpoint):
-        return list(self.engine.taken)
+        return list(self.engine.accepted)
 
     async def send(self, endpoint, order):
         if self.before_send is not None:
             await self.before_send()
-        self.engine.take(order)
+        self.engine.accept(order)
 
 
 def tree_with(model):
@@ -75,61 +75,70 @@
 @given(
     checks=st.booleans(),
     steps=st.lists(
-        st.sampled_from(['publish', 'keep a', 'keep b', 'down', 'up']),
+        st.sampled_from(
+            ['publish', 'reconcile a', 'reconcile b', 'down', 'up']
+        ),
         max_size=20,
     ),
 )
 @hypothesis_settings(deadline=None, derandomize=True)
-def test_keepers_never_order_something_older_than_stands(checks, steps):
+def test_reconcilers_never_send_an_older_order(checks, steps):
     log = builders.FakeLog()
     engine = FakeEngine(checks)
-    keepers = {'a': Keeper(log, engine), 'b': Keeper(log, engine)}
+    reconcilers = {
+        'a': FakeEngineReconciler(log, engine),
+        'b': FakeEngineReconciler(log, engine),
+    }
 
     async def scenario():
         for number, step in enumerate(steps):
             log.down = {'down': True, 'up': False}.get(step, log.down)
             if step == 'publish' and not log.down:
                 await config.publish(log, STREAM, tree_with(f'm{number}'))
-            elif step.startswith('keep'):
-                keeper = keepers[step[-1]]
-                await keeper.try_reconcile(keeper.endpoint)
+            elif step.startswith('reconcile'):
+                reconciler = reconcilers[step[-1]]
+                await reconciler.try_reconcile(reconciler.endpoint)
 
     asyncio.run(scenario())
-    fencing = [o.fencing for o in engine.taken]
+    fencing = [o.fencing for o in engine.accepted]
     assert fencing == sorted(fencing)
 
 
-def play_paused_keeper(checks):
-    """Let a keeper pause between its check and its send.
+def run_paused_reconciler(checks):
+    """Pause a reconciler between its check and its send.
 
-    :returns: the engine, the other keeper, and the values the engine
-        had taken when the paused one was done.
+    :param checks: whether the engine checks fencing tokens.
+    :returns: the engine, the other reconciler, and the values that the
+        engine had accepted when the paused one was done.
     """
     log = builders.FakeLog()
     engine = FakeEngine(checks)
-    paused, other = Keeper(log, engine), Keeper(log, engine)
+    paused, other = (
+        FakeEngineReconciler(log, engine),
+        FakeEngineReconciler(log, engine),
+    )
 
-    async def overtake():
+    async def send_newer_order():
         paused.before_send = None
         await config.publish(log, STREAM, tree_with('new'))
         await other.reconcile(other.endpoint)
 
     async def scenario():
         await config.publish(log, STREAM, tree_with('old'))
-        paused.before_send = overtake
+        paused.before_send = send_newer_order
         await paused.try_reconcile(paused.endpoint)
 
     asyncio.run(scenario())
-    return engine, other, [o.value for o in engine.taken]
+    return engine, other, [o.value for o in engine.accepted]
 
 
-def test_paused_keepers_stale_order_is_put_right_on_an_unchecking_engine():
-    engine, other, taken = play_paused_keeper(checks=False)
-    assert taken == ['new', 'old']
+def test_stale_order_is_corrected_on_an_engine_without_fencing():
+    engine, other, accepted = run_paused_reconciler(checks=False)
+    assert accepted == ['new', 'old']
     asyncio.run(other.reconcile(other.endpoint))
-    assert engine.taken[-1].value == 'new'
+    assert engine.accepted[-1].value == 'new'
 
 
-def test_paused_keepers_stale_order_is_refused_by_a_checking_engine():
-    _, _, taken = play_paused_keeper(checks=True)
-    assert taken == ['new']
+def test_stale_order_is_refused_by_an_engine_with_fencing():
+    _, _, accepted = run_paused_reconciler(checks=True)
+    assert accepted == ['new']
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -1,4 +1,4 @@
-"""Peer links: a ring of few links reaches everybody."""
+"""Peer links and the rate limit of journal appends."""
 
 import asyncio
 
@@ -17,18 +17,20 @@
 
 
 @given(size=st.integers(1, 60))
-def test_news_passed_on_around_the_ring_reaches_everybody(size):
+def test_message_forwarded_around_the_ring_reaches_all_daemons(size):
     urls = [f'ws://127.0.0.1:{9000 + n}/peer' for n in range(size)]
     links = {
         own: peers_module.choose_neighbours(own, [u for u in urls if u != own])
         for own in urls
     }
-    assert all(own not in near for own, near in links.items())
+    assert all(own not in neighbours for own, neighbours in links.items())
     assert all(len(n) == min(size - 1, 3) for n in links.values())
-    reached, fresh = {urls[0]}, {urls[0]}
-    while fresh:
-        fresh = {n for own in fresh for n in links[own]} - reached
-        reached |= fresh
+    reached, newly_reached = {urls[0]}, {urls[0]}
+    while newly_reached:
+        newly_reached = {
+            n for own in newly_reached for n in links[own]
+        } - reached
+        reached |= newly_reached
     assert reached == set(urls)
 
 
@@ -41,8 +43,8 @@
 
 
 @given(mine=st.integers(1, 5), theirs=st.integers(1, 5))
-def test_heartbeats_bring_the_older_side_up_to_date(mine, theirs):
-    """And never take the newer one back."""
+def test_heartbeats_update_the_older_configuration(mine, theirs):
+    """A newer configuration is never replaced by an older one."""
     dialer, server = make_peers(mine), make_peers(theirs)
     answer = server.receive(dialer.encode(dialer.heartbeat()))
     dialer.receive(server.encode(answer))
@@ -51,34 +53,34 @@
     assert (answer['type'] == 'config') == (mine < theirs)
 
 
-def test_leaving_is_passed_on_once():
+def test_leaving_message_is_forwarded_once():
     async def scenario():
         peers = make_peers(1)
         peers.outbox = {'ws://a': asyncio.Queue(10)}
         endpoint = next(iter(peers.router.endpoints))
-        news = peers.encode({'type': 'leaving', 'endpoint': endpoint})
+        message = peers.encode({'type': 'leaving', 'endpoint': endpoint})
         for _ in range(3):
-            peers.receive(news)
+            peers.receive(message)
         return peers.outbox['ws://a'].qsize()
 
     assert asyncio.run(scenario()) == 1
 
 
-class StandingClock(Clock):
-    """A clock by which all happens at once."""
+class ConstantClock(Clock):
+    """A clock whose time never changes."""
 
     def now(self):
         return 0
 
 
-@given(writers=st.integers(1, 320), wanted=st.integers(1, 300))
-def test_daemons_together_keep_to_the_journals_share(writers, wanted):
-    """Beyond its burst, a daemon waits its gap for each append."""
-    pace = TokenBucket(400, lambda: writers)
-    pace.clock = StandingClock()
-    pace.refilled_ms = pace.clock.now()
-    waits = [pace.reserve() for _ in range(wanted)]
-    gap = 1000 * writers / (400 * JOURNAL_RATE_FRACTION)
+@given(writers=st.integers(1, 320), appends=st.integers(1, 300))
+def test_total_journal_append_rate_is_limited(writers, appends):
+    """After its burst, a daemon waits one interval for each append."""
+    bucket = TokenBucket(400, lambda: writers)
+    bucket.clock = ConstantClock()
+    bucket.filled_ms = bucket.clock.now()
+    waits = [bucket.reserve() for _ in range(appends)]
+    interval_ms = 1000 * writers / (400 * JOURNAL_RATE_FRACTION)
     assert waits == sorted(waits)
-    expected = max(0, wanted - BURST_APPENDS) * gap
+    expected = max(0, appends - BURST_APPENDS) * interval_ms
     assert waits[-1] == pytest.approx(expected)
--- a/tests/test_platform_adapter.py
+++ b/tests/test_platform_adapter.py
@@ -39,7 +39,7 @@
 from pearrun.standins.platformsite import STREAM_HOST
 from pearrun.standins.platformstore import join_records
 from pearrun.states import EndpointState
-from tests.builders import free_port
+from tests.builders import find_free_port
 
 RUN = Run(HostName('h'), 5, 'zone-a')
 PORTS = {'front': 8360, 'ready': 8365, 'peer': 7500}
@@ -312,7 +312,7 @@
 def test_silent_store_times_out_calls_and_recovery_aborts_long_polls():
     async def main():
         site = StandinSite(
-            f'127.0.0.1:{free_port()}', f'127.0.0.1:{free_port()}'
+            f'127.0.0.1:{find_free_port()}', f'127.0.0.1:{find_free_port()}'
         )
         await site.start()
         fields = make_fields()
--- a/tests/test_platform_duties.py
+++ b/tests/test_platform_duties.py
@@ -19,7 +19,7 @@
 from pearrun.shared.term import Term
 from pearrun.standins.platformsite import KEY
 from pearrun.standins.platformsite import make_config
-from tests.builders import free_port
+from tests.builders import find_free_port
 from tests.platformsite import call
 from tests.platformsite import make_prompt
 from tests.platformsite import run_site
@@ -363,7 +363,7 @@
     """The connection stalls in mid-call and recovers after the term."""
 
     async def main():
-        port = free_port()
+        port = find_free_port()
         server, read, received = await serve_silently(port, 4096)
         address = f'127.0.0.1:{port}'
         client = dutyclient.DutyClient(address, 'host-1')
--- a/tests/test_pool.py
+++ b/tests/test_pool.py
@@ -8,7 +8,7 @@
 from pearrun.clock import to_seconds
 from pearrun.platform.settings import StoreSettings
 from pearrun.platform.store import StoreClient
-from tests.builders import free_port
+from tests.builders import find_free_port
 
 EMPTY_LOG = bytes(16)
 ANSWER = b'HTTP/1.1 200 OK\r\nContent-Length: 16\r\n\r\n' + EMPTY_LOG
@@ -47,7 +47,7 @@
 
     async def main():
         silenced = SilencedServer()
-        port = free_port()
+        port = find_free_port()
         server = await asyncio.start_server(silenced.serve, '127.0.0.1', port)
         try:
             await scenario(silenced, f'127.0.0.1:{port}')
--- a/tests/test_router.py
+++ b/tests/test_router.py
@@ -1,4 +1,4 @@
-"""Routing properties, checked with hypothesis."""
+"""Properties of the routing policies and endpoint states."""
 
 from hypothesis import given
 from hypothesis import stateful
@@ -27,7 +27,9 @@
 
 @pytest.mark.parametrize('policy', POLICIES)
 @given(prompt=st.text(max_size=400), loads=st.lists(st.integers(0, 20)))
-def test_choice_is_live_local_and_serves(policy, prompt, loads):
+def test_chosen_endpoint_is_live_local_and_serves_the_service(
+    policy, prompt, loads
+):
     router = make_router(policy)
     for endpoint, load in zip(router.endpoints.values(), loads, strict=False):
         endpoint.in_flight = load
@@ -51,8 +53,8 @@
 
 
 @given(tail=st.text(max_size=50))
-def test_long_prompts_have_one_favourite_over_all_zones(tail):
-    """Every zone's daemons send them where the prefix is cached."""
+def test_long_prompts_are_routed_alike_in_all_zones(tail):
+    """The daemons of all zones choose the endpoint with the prefix."""
     policy = router_module.AffinityPolicy(reach=300)
     prompt = 'p' * 300 + tail
     chosen = set()
@@ -71,8 +73,8 @@
         assert chosen.zone == 'boa-viagem'
 
 
-def test_hot_prefix_spreads_over_few_endpoints():
-    """Over its limit, the next in rank is taken, not just any."""
+def test_hot_prefix_uses_few_endpoints():
+    """An endpoint over its limit is replaced by the next in rank."""
     router = make_router(router_module.AffinityPolicy(slack=2), local=8)
     used = []
     for _ in range(6):
@@ -82,11 +84,11 @@
     assert len(set(used)) == 2
 
 
-def test_affinity_yields_to_load():
+def test_overloaded_endpoint_is_passed_over_by_affinity():
     router = make_router(router_module.AffinityPolicy(slack=2))
-    favourite = router.choose('pearrun-oficina', 'same prefix')
-    favourite.in_flight = 10
-    assert router.choose('pearrun-oficina', 'same prefix') is not favourite
+    preferred = router.choose('pearrun-oficina', 'same prefix')
+    preferred.in_flight = 10
+    assert router.choose('pearrun-oficina', 'same prefix') is not preferred
 
 
 def test_no_live_endpoint_gives_code_1401_with_retry_after():
@@ -100,9 +102,9 @@
 
 
 class LeavingNeverReturns(stateful.RuleBasedStateMachine):
-    """A leaving endpoint never gets new work again.
+    """A leaving endpoint never gets new requests again.
 
-    However the marks arrive (host list lag, notices, drain).
+    State changes come from host lists, notices and drains in any order.
     """
 
     def __init__(self):
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -8,7 +8,7 @@
 
 
 def test_good_daemon_settings_load():
-    text = builders.daemon_settings_yaml(
+    text = builders.build_daemon_settings_yaml(
         'bv-1', 'boa-viagem', 8101, 'http://127.0.0.1:1', []
     )
     loaded = settings.parse_yaml(text, settings.Settings)
@@ -22,7 +22,7 @@
 
 
 def test_bad_value_names_key_and_line():
-    text = builders.daemon_settings_yaml(
+    text = builders.build_daemon_settings_yaml(
         'bv-1', 'boa-viagem', 8101, 'http://127.0.0.1:1', []
     ).replace('port: 8101', 'port: 99999')
     with pytest.raises(exceptions.SettingsValueError) as caught:
@@ -57,5 +57,5 @@
 
 
 def test_test_processes_never_share_a_port():
-    ports = [builders.free_port() for _ in range(300)]
+    ports = [builders.find_free_port() for _ in range(300)]
     assert len(set(ports)) == 300
