--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -82,7 +82,7 @@
         log = LogClient(session, platform)
         for _ in range(FLAGS.changes):
             version, _ = await config.publish(
-                log, 'config', builders.team_tree()
+                log, 'config', builders.build_team_tree()
             )
             started = time.monotonic()
             await asyncio.gather(
--- a/benchmarks/slopes.py
+++ b/benchmarks/slopes.py
@@ -302,7 +302,7 @@
     """Return the CPU ms of one routing decision, by pool size."""
     figures = {}
     for number in (10, 300, 2100):
-        endpoints = [builders.endpoint(n) for n in range(number)]
+        endpoints = [builders.make_endpoint(n) for n in range(number)]
         router = Router(endpoints, ZONE)
         started = time.process_time()
         for n in range(200):
--- a/pearrun/api/backends.py
+++ b/pearrun/api/backends.py
@@ -23,7 +23,7 @@
     A missing response may mean a long queue at the engine or a dead
     connection.  To tell them apart, the engine's load is requested on
     another connection after each ``stall_ms`` without a response; if
-    that request fails too, the engine is taken as failed.
+    that request fails too, the engine is considered failed.
 
     :param call: the awaitable request.
     :param host: the daemon's :class:`HostSettings`.
--- a/pearrun/api/peers.py
+++ b/pearrun/api/peers.py
@@ -9,7 +9,8 @@
 Messages are CBOR maps with a ``type`` key:
 
 - ``{"type": "heartbeat", "from": name, "version": n}``: the peer
-  answers with its own version, or with its team tree if that is newer.
+  answers with its team tree if that is newer, else with a message of
+  type ``alive`` that has its own version.
 - ``{"type": "leaving", "from": name, "endpoint": id}``: forwarded by
   each daemon to which it is new.
 - ``{"type": "config", "from": name, "yaml": text}``: the active team
@@ -87,7 +88,7 @@
             if not queue.full():
                 queue.put_nowait({'type': 'leaving', 'endpoint': endpoint_id})
 
-    def heartbeat(self):
+    def build_heartbeat(self):
         """Return a heartbeat message of this daemon."""
         return {'type': 'heartbeat', 'version': self.config.tree.version}
 
@@ -158,7 +159,7 @@
         listen_task = asyncio.create_task(self.listen(websocket, link))
         try:
             while not listen_task.done():
-                message = await self.next_message(link)
+                message = await self.get_next_message(link)
                 await websocket.send(self.encode(message))
                 if self.clock.since(link.last_seen_ms) > timeout_ms:
                     raise TimeoutError(f'{link.url} sent no message')
@@ -169,14 +170,14 @@
             ):
                 await listen_task
 
-    async def next_message(self, link):
+    async def get_next_message(self, link):
         """Return the next queued message, or a heartbeat when one is due."""
         pause_s = to_seconds(self.settings.host.heartbeat_ms)
         try:
             async with asyncio.timeout(pause_s):
                 return await self.outbox[link.url].get()
         except TimeoutError:
-            return self.heartbeat()
+            return self.build_heartbeat()
 
     async def listen(self, websocket, link):
         """Handle a peer's messages on an outgoing link."""
--- a/pearrun/api/runner.py
+++ b/pearrun/api/runner.py
@@ -86,7 +86,9 @@
         """Publish a job's failure."""
         self.metrics.of(job.service).failed += 1
         await job.publish(state=RequestState.FAILED, failure=failure)
-        logger.warning('request failed', code=failure.code, **job.labels())
+        logger.warning(
+            'request failed', code=failure.code, **job.get_log_fields()
+        )
 
     async def finish(self, job, finish_reason):
         """Publish that a job is complete."""
@@ -98,7 +100,9 @@
         metrics_module.record(
             counters.total, self.clock.since(job.accepted_ms)
         )
-        logger.info('request done', tokens=len(job.tokens), **job.labels())
+        logger.info(
+            'request done', tokens=len(job.tokens), **job.get_log_fields()
+        )
 
     async def run_non_idempotent(self, job, service):
         """Run a non-idempotent job.
@@ -142,7 +146,9 @@
             except exceptions.BackendError as exc:
                 counters.retries += 1
                 logger.warning(
-                    'endpoint failed', error=exc.message, **job.labels()
+                    'endpoint failed',
+                    error=exc.message,
+                    **job.get_log_fields(),
                 )
                 tried.add(endpoint.id)
                 if not isinstance(exc, exceptions.EndpointUnreachableError):
--- a/pearrun/api/shutdown.py
+++ b/pearrun/api/shutdown.py
@@ -48,7 +48,9 @@
             async with asyncio.timeout(to_seconds(timeout_ms)):
                 await self.dispatcher.drain()
         except TimeoutError:
-            logger.warning('drain incomplete; handing over unfinished requests')
+            logger.warning(
+                'drain incomplete; handing over unfinished requests'
+            )
             await self.dispatcher.hand_over()
 
     async def stop(self):
--- a/pearrun/api/structures.py
+++ b/pearrun/api/structures.py
@@ -68,11 +68,11 @@
 
     ``started`` says that an endpoint may have run it, ``attempts`` is
     the number of endpoints that did, ``readers`` the number of callers
-    that are reading the answer, and ``token_ms`` the moving average of
-    the time between tokens.  ``saved`` is the number of tokens on the
-    log, ``saved_ms`` the time when the acceptance was last written
-    there, and ``saving`` the write in progress.  ``handed_over`` says
-    that another host continues the job, and ``durable`` that its
+    that are reading the answer, and ``token_ms`` an exponential moving
+    average of the time between tokens.  ``saved`` is the number of
+    tokens on the log, ``saved_ms`` the time when the acceptance was last
+    written there, and ``saving`` the write in progress.  ``handed_over``
+    says that another host continues the job, and ``durable`` that its
     acceptance is on the log.
     """
 
@@ -131,7 +131,7 @@
         """Return the answer so far as text."""
         return ' '.join(self.tokens)
 
-    def labels(self):
+    def get_log_fields(self):
         """Return the fields of every log line about the job."""
         return {
             'request_id': self.id,
@@ -139,9 +139,9 @@
             'service': self.service,
         }
 
-    def update_token_interval(self, gap_ms):
+    def update_token_interval(self, interval_ms):
         """Add the time between two tokens to the moving average."""
-        self.token_ms += INTERVAL_WEIGHT * (gap_ms - self.token_ms)
+        self.token_ms += INTERVAL_WEIGHT * (interval_ms - self.token_ms)
 
     async def publish(self, **changes):
         """Update fields and wake all tasks that wait for the job."""
--- a/tests/builders.py
+++ b/tests/builders.py
@@ -84,13 +84,13 @@
     raise RuntimeError('no free port is left')
 
 
-def team_tree(version=0):
+def build_team_tree(version=0):
     """Return the team tree of the tests with a version."""
     tree = settings_module.parse_yaml(TEAM_TREE_YAML, settings_module.TeamTree)
     return tree.model_copy(update={'version': version})
 
 
-def endpoint(number, zone='boa-viagem', kind=BackendKind.ENGINE):
+def make_endpoint(number, zone='boa-viagem', kind=BackendKind.ENGINE):
     """Return a runtime :class:`Endpoint`."""
     services = (
         ENGINE_SERVICES if kind == BackendKind.ENGINE else PLAIN_SERVICES
@@ -139,7 +139,7 @@
     return settings_module.Settings.model_validate(tree)
 
 
-def accepted(request_id, service='pearrun-oficina', key=None):
+def build_acceptance(request_id, service='pearrun-oficina', key=None):
     """Return the journal entry of an acceptance."""
     return entries.Accepted(
         id=request_id,
--- a/tests/test_calls.py
+++ b/tests/test_calls.py
@@ -22,7 +22,7 @@
         log = builders.FakeLog()
         settings = builders.settings()
         router = Router(
-            [builders.endpoint(0, kind=BackendKind.SERVICE)], 'boa-viagem'
+            [builders.make_endpoint(0, kind=BackendKind.SERVICE)], 'boa-viagem'
         )
         runner = Runner(
             settings,
@@ -34,7 +34,7 @@
             MetricsTable(),
         )
         job = Job('h.1.a', 'c', 'alarme-svc', 'p', 1, 0, 0, 'alarme-svc/k')
-        service = builders.team_tree().find_service('alarme-svc')
+        service = builders.build_team_tree().find_service('alarme-svc')
         running = asyncio.create_task(runner.run(job, service))
         try:
             return await scenario(log, job, running)
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -49,7 +49,9 @@
         self.log.lose_answers = lost
         try:
             version, _ = self.run(
-                config.publish(self.log, STREAM, builders.team_tree(), team)
+                config.publish(
+                    self.log, STREAM, builders.build_team_tree(), team
+                )
             )
         except exceptions.JournalUnavailableError:
             return
@@ -104,7 +106,9 @@
             value = {
                 'version': base + 1,
                 'team': None,
-                'yaml': config.tree_to_yaml(builders.team_tree(base + 1)),
+                'yaml': config.tree_to_yaml(
+                    builders.build_team_tree(base + 1)
+                ),
             }
             try:
                 self.run(self.log.append(STREAM, value, expected_offset=head))
@@ -160,7 +164,7 @@
 
     async def scenario():
         for _ in range(3):
-            await config.publish(log, STREAM, builders.team_tree())
+            await config.publish(log, STREAM, builders.build_team_tree())
         log.expire(STREAM, 2)
         follower = config.ConfigFollower(log, builders.settings())
         await follower.poll_once()
@@ -174,9 +178,9 @@
 
     async def scenario():
         for _ in range(3):
-            await config.publish(log, STREAM, builders.team_tree())
+            await config.publish(log, STREAM, builders.build_team_tree())
         log.expire(STREAM, 3)
-        return await config.publish(log, STREAM, builders.team_tree())
+        return await config.publish(log, STREAM, builders.build_team_tree())
 
     version, _ = run(scenario())
     assert version > 3
@@ -186,10 +190,10 @@
     log = builders.FakeLog()
 
     async def scenario():
-        await config.publish(log, STREAM, builders.team_tree())
+        await config.publish(log, STREAM, builders.build_team_tree())
         stale = config.ConfigFollower(log, builders.settings())
         await stale.poll_once()
-        await config.publish(log, STREAM, builders.team_tree())
+        await config.publish(log, STREAM, builders.build_team_tree())
         stale.seen_ms -= 10 * stale.settings.platform.retention_ms
         return await stale.refresh()
 
@@ -199,7 +203,7 @@
 
 def test_team_may_not_change_another_teams_branch():
     log = builders.FakeLog()
-    change = builders.team_tree()
+    change = builders.build_team_tree()
     teams = dict(change.teams)
     teams['hamutenya'] = teams['hamutenya'].model_copy(
         update={'customers': ['someone-else']}
@@ -207,7 +211,7 @@
     change = change.model_copy(update={'teams': teams})
 
     async def scenario():
-        await config.publish(log, STREAM, builders.team_tree())
+        await config.publish(log, STREAM, builders.build_team_tree())
         await config.publish(log, STREAM, change, 'sinal-nordeste')
 
     with pytest.raises(exceptions.ForeignBranchError) as caught:
--- a/tests/test_dispatcher.py
+++ b/tests/test_dispatcher.py
@@ -36,8 +36,8 @@
         settings = builders.settings(**{'timeout_ms': 50, **platform})
         journal = journal_module.Journal(log, settings)
         config = ConfigFollower(log, settings)
-        config.tree = builders.team_tree(version=1)
-        router = Router([builders.endpoint(0)], 'boa-viagem')
+        config.tree = builders.build_team_tree(version=1)
+        router = Router([builders.make_endpoint(0)], 'boa-viagem')
         dispatcher = Dispatcher(
             settings,
             router,
--- a/tests/test_job_crashes.py
+++ b/tests/test_job_crashes.py
@@ -24,7 +24,7 @@
     """Return a runner whose engines do not listen at their addresses."""
     log = builders.FakeLog()
     settings = builders.settings()
-    engines = [builders.endpoint(number) for number in range(ENGINES)]
+    engines = [builders.make_endpoint(number) for number in range(ENGINES)]
     for engine in engines:
         engine.url = f'http://127.0.0.1:{builders.find_free_port()}'
     return Runner(
@@ -46,7 +46,7 @@
 async def crash_engines(crashes, numbers):
     """Let engines crash under a job, one after another."""
     for number in numbers:
-        engine = builders.endpoint(number)
+        engine = builders.make_endpoint(number)
         engine.url = f'http://127.0.0.1:{builders.find_free_port()}'
         await crashes.check_for_crash(make_job(), engine, 5, False)
 
@@ -65,7 +65,7 @@
     async def main():
         runner = make_runner()
         job = make_job()
-        service = builders.team_tree().find_service('pearrun-oficina')
+        service = builders.build_team_tree().find_service('pearrun-oficina')
         running = asyncio.create_task(runner.run(job, service))
         await asyncio.wait({running}, timeout=5)
         running.cancel()
@@ -91,7 +91,7 @@
         runner = make_runner()
         job = make_job()
         job.max_tokens = 5
-        service = builders.team_tree().find_service('pearrun-oficina')
+        service = builders.build_team_tree().find_service('pearrun-oficina')
         async with asyncio.timeout(5):
             await runner.run(job, service)
         return job
@@ -132,7 +132,7 @@
         runner = make_runner()
         await crash_engines(runner.crashes, range(3))
         job = make_job('other.1.a')
-        service = builders.team_tree().find_service('pearrun-oficina')
+        service = builders.build_team_tree().find_service('pearrun-oficina')
         async with asyncio.timeout(5):
             await runner.run(job, service)
         return job
--- a/tests/test_journal.py
+++ b/tests/test_journal.py
@@ -124,7 +124,7 @@
         request_id = journal_module.new_request_id(host.journal.stream)
         self.told[request_id] = 'pending'
         try:
-            await host.journal.accept(builders.accepted(request_id))
+            await host.journal.accept(builders.build_acceptance(request_id))
         except exceptions.PearrunError as exc:
             self.told[request_id] = 'not run' if exc.not_run else 'unknown'
         else:
@@ -258,7 +258,7 @@
 def test_lost_answer_of_an_acceptance_is_settled_not_refused():
     async def scenario(log, journal):
         log.lose_answers = 1
-        await journal.accept(builders.accepted('h.1.a'))
+        await journal.accept(builders.build_acceptance('h.1.a'))
         return await read_ledger(log, journal.stream)
 
     assert set(run_with_journal(scenario).unfinished) == {'h.1.a'}
@@ -268,7 +268,7 @@
     async def scenario(log, journal):
         log.down = True
         with pytest.raises(exceptions.JournalUnavailableError) as caught:
-            await journal.accept(builders.accepted('h.1.a'))
+            await journal.accept(builders.build_acceptance('h.1.a'))
         log.down = False
         await journal.write(entries.Finished('h.1.b', 'done'))
         return caught.value, await read_ledger(log, journal.stream)
@@ -286,7 +286,7 @@
         log.lose_answers = 1
         log.lose_after = 1000
         with pytest.raises(exceptions.AmbiguousAppendError) as caught:
-            await journal.accept(builders.accepted('h.1.a'))
+            await journal.accept(builders.build_acceptance('h.1.a'))
         log.lose_appends = 0
         await journal.write(entries.Finished('h.1.b', 'done'))
         return caught.value, await read_ledger(log, journal.stream)
@@ -299,7 +299,8 @@
 def test_entries_that_arrive_together_go_out_together():
     async def scenario(log, journal):
         writes = [
-            journal.accept(builders.accepted(f'h.1.{n}')) for n in range(100)
+            journal.accept(builders.build_acceptance(f'h.1.{n}'))
+            for n in range(100)
         ]
         await asyncio.gather(*writes)
         return journal.appends
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -39,7 +39,7 @@
 
     def __init__(self, log, engine):
         settings = builders.settings()
-        self.endpoint = builders.endpoint(0)
+        self.endpoint = builders.make_endpoint(0)
         super().__init__(
             None,
             settings,
@@ -60,7 +60,7 @@
 
 
 def tree_with(model):
-    tree = builders.team_tree()
+    tree = builders.build_team_tree()
     team = tree.teams['sinal-nordeste']
     service = team.services['pearrun-oficina']
     services = dict(
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -37,8 +37,8 @@
 def make_peers(version):
     settings = builders.settings()
     follower = config.ConfigFollower(builders.FakeLog(), settings)
-    follower.tree = builders.team_tree(version=version)
-    router = Router([builders.endpoint(0)], 'boa-viagem')
+    follower.tree = builders.build_team_tree(version=version)
+    router = Router([builders.make_endpoint(0)], 'boa-viagem')
     return peers_module.Peers(settings, router, follower)
 
 
@@ -46,7 +46,7 @@
 def test_heartbeats_update_the_older_configuration(mine, theirs):
     """A newer configuration is never replaced by an older one."""
     dialer, server = make_peers(mine), make_peers(theirs)
-    answer = server.receive(dialer.encode(dialer.heartbeat()))
+    answer = server.receive(dialer.encode(dialer.build_heartbeat()))
     dialer.receive(server.encode(answer))
     assert dialer.config.tree.version == max(mine, theirs)
     assert server.config.tree.version == theirs
--- a/tests/test_router.py
+++ b/tests/test_router.py
@@ -18,9 +18,10 @@
 
 
 def make_router(policy, local=3, remote=2):
-    endpoints = [builders.endpoint(i) for i in range(local)]
+    endpoints = [builders.make_endpoint(i) for i in range(local)]
     endpoints += [
-        builders.endpoint(10 + i, zone='santo-amaro') for i in range(remote)
+        builders.make_endpoint(10 + i, zone='santo-amaro')
+        for i in range(remote)
     ]
     return router_module.Router(endpoints, 'boa-viagem', policy)
 
