--- a/pearrun/api/calls.py
+++ b/pearrun/api/calls.py
@@ -1,4 +1,4 @@
-"""Non-idempotent calls: made at most once, whoever retries them."""
+"""Non-idempotent calls: run at most once, also when requests are retried."""
 
 import dataclasses
 
@@ -11,11 +11,11 @@
 
 @dataclasses.dataclass(frozen=True)
 class CallOutcome:
-    """What became of a call.
+    """The result of a call.
 
-    ``failure`` is set when it may have run and gave no answer.
-    ``publish`` is what the log is to be told, ``None`` when another
-    host made the call.
+    ``failure`` is set when the call may have run but returned no
+    result.  ``publish`` is the kind of outcome to append to the log;
+    ``None`` when another host made the call.
     """
 
     text: str | None = None
@@ -23,42 +23,51 @@
     publish: str | None = None
 
 
-class OnceCaller:
-    """Claims keys and makes their calls.
+class AtMostOnceCaller:
+    """Claims idempotency keys and makes their calls.
 
     :param settings: the daemon's whole :class:`Settings`.
     :param session: an :class:`aiohttp.ClientSession` for back ends.
     :param claims: a :class:`KeyClaims`.
     :param journal: the daemon's :class:`Journal`.
     :param membership: the daemon's :class:`Membership`.
-    :param places: a :class:`Placement` that picks endpoints.
-    :param crashes: the daemon's :class:`JobCrashes`.
+    :param placement: a :class:`Placement` that picks endpoints.
+    :param crashes: the daemon's :class:`JobCrashTracker`.
     """
 
     def __init__(
-        self, settings, session, claims, journal, membership, places, crashes
+        self,
+        settings,
+        session,
+        claims,
+        journal,
+        membership,
+        placement,
+        crashes,
     ):
         self.settings = settings
         self.session = session
         self.claims = claims
         self.journal = journal
         self.membership = membership
-        self.places = places
+        self.placement = placement
         self.crashes = crashes
         self.clock = Clock()
 
     async def call(self, job, service):
-        """Make a job's call, or learn what became of it elsewhere.
-
-        :returns: a :class:`CallOutcome`; its ``publish`` has not been
-            done yet, so that no caller waits for the log.
-        :raises IdempotencyMismatchError: the key belongs to another
-            request.
-        :raises OutcomeUnknownError: another host's call may have run.
+        """Make a job's call, or wait for its outcome on another host.
+
+        :returns: a :class:`CallOutcome`; the caller of this method
+            publishes it, after it has answered the client, so that the
+            client does not wait for the log.
+        :raises IdempotencyMismatchError: the key was used for a
+            different request.
+        :raises OutcomeUnknownError: the call may have run on another
+            host.
         :raises CapacityError: another host is still making the call.
         """
         key = job.idempotency_key
-        digest = claims_module.digest_of(job.prompt)
+        digest = claims_module.compute_digest(job.prompt)
         claim = await self.claim(key, digest)
         if claim.digest != digest:
             raise exceptions.IdempotencyMismatchError(
@@ -66,11 +75,13 @@
             )
         if not claim.won:
             text = await self.claims.wait_outcome(
-                key, self.settings.host.stall_ms, self.membership.is_gone
+                key,
+                self.settings.host.stall_ms,
+                self.membership.is_writer_dead,
             )
             return CallOutcome(text)
         try:
-            text = await self.make(job, service)
+            text = await self.make_call(job, service)
         except exceptions.BackendError as exc:
             failure = exceptions.OutcomeUnknownError(
                 f'the call may have run; it is not repeated: {exc.message}'
@@ -79,11 +90,11 @@
         return CallOutcome(text, publish=claims_module.ANSWERED)
 
     async def claim(self, key, digest):
-        """Claim a key, however long the log is down.
+        """Claim a key; retries until the log is available.
 
         :returns: a :class:`Claim`.
         """
-        attempt = claims_module.new_attempt()
+        attempt = claims_module.generate_attempt_id()
         backoff = Backoff()
         while True:
             try:
@@ -93,19 +104,21 @@
             except exceptions.CapacityError:
                 await backoff.pause()
 
-    async def make(self, job, service):
-        """Make a claimed call; only one that cannot have run is retried.
+    async def make_call(self, job, service):
+        """Make a claimed call; retries only when it cannot have run.
 
-        :returns: the service's answer.
+        :returns: the service's result text.
         :raises BackendError: the call may have run.
         """
         tried = set()
         backoff = Backoff()
         while True:
-            endpoint = await self.places.choose(job, service, tried, backoff)
-            begun_ms = self.clock.now()
+            endpoint = await self.placement.choose(
+                job, service, tried, backoff
+            )
+            started_ms = self.clock.now()
             try:
-                with self.places.occupy(job, endpoint):
+                with self.placement.track_in_flight(job, endpoint):
                     return await backends.call_service(
                         self.session, endpoint, job, self.settings.host
                     )
@@ -113,6 +126,6 @@
                 tried.add(endpoint.id)
                 await backoff.pause()
             except exceptions.BackendError:
-                ran_ms = self.clock.since(begun_ms)
-                self.crashes.note_broken(job, endpoint, ran_ms, False)
+                ran_ms = self.clock.since(started_ms)
+                self.crashes.check_for_crash(job, endpoint, ran_ms, False)
                 raise
--- a/pearrun/api/runner.py
+++ b/pearrun/api/runner.py
@@ -1,10 +1,10 @@
-"""The runner of jobs: from an accepted request to its final state.
+"""Execution of jobs, from an accepted request to its final state.
 
-An accepted request is not given up when no endpoint can serve it, or one
-fails in the middle: the job pauses and goes on elsewhere, from the last
-token it has.  There are two exceptions: a non-idempotent call that may have
-run is not made again (see :mod:`pearrun.api.calls`), and a request that
-crashes the endpoints which run it fails (see :mod:`pearrun.api.crashes`).
+A job is retried when no endpoint is available or an endpoint fails: it
+pauses and resumes on another endpoint after the last token that it has.
+There are two exceptions: a non-idempotent call that may have run is not
+repeated (see :mod:`pearrun.api.calls`), and a request that crashes the
+endpoints which run it fails (see :mod:`pearrun.api.crashes`).
 """
 
 import contextlib
@@ -14,16 +14,16 @@
 from pearrun import exceptions
 from pearrun import metrics as metrics_module
 from pearrun.api import backends
-from pearrun.api.calls import OnceCaller
-from pearrun.api.crashes import JobCrashes
-from pearrun.api.handoff import move_cache
+from pearrun.api.calls import AtMostOnceCaller
+from pearrun.api.crashes import JobCrashTracker
+from pearrun.api.kvtransfer import transfer_cache
 from pearrun.api.placement import Placement
 from pearrun.backoff import Backoff
 from pearrun.clock import Clock
 from pearrun.states import BackendKind
 from pearrun.states import RequestState
 
-MOVE_TIMEOUT_MS = 2000
+MIGRATION_TIMEOUT_MS = 2000
 
 
 class Runner:
@@ -36,7 +36,7 @@
     :param journal: the daemon's :class:`Journal`.
     :param membership: the daemon's :class:`Membership`.
     :param metrics: a :class:`MetricsTable`.
-    :param crashes: the daemon's :class:`JobCrashes`.
+    :param crashes: the daemon's :class:`JobCrashTracker`.
     """
 
     def __init__(
@@ -55,15 +55,15 @@
         self.claims = claims
         self.metrics = metrics
         self.clock = Clock()
-        self.places = Placement(router)
-        self.crashes = crashes or JobCrashes()
-        self.once = OnceCaller(
+        self.placement = Placement(router)
+        self.crashes = crashes or JobCrashTracker()
+        self.at_most_once_caller = AtMostOnceCaller(
             settings,
             session,
             claims,
             journal,
             membership,
-            self.places,
+            self.placement,
             self.crashes,
         )
 
@@ -76,9 +76,9 @@
         await job.publish(state=RequestState.RUNNING)
         try:
             if service.idempotent:
-                await self.run_repeatable(job, service)
+                await self.run_idempotent(job, service)
             else:
-                await self.run_once(job, service)
+                await self.run_non_idempotent(job, service)
         except exceptions.PearrunError as exc:
             await self.fail(job, exc)
 
@@ -86,10 +86,12 @@
         """Publish a job's failure."""
         self.metrics.get_or_create(job.service).failed += 1
         await job.publish(state=RequestState.FAILED, failure=failure)
-        logger.warning('request failed', code=failure.code, **job.labels())
+        logger.warning(
+            'request failed', code=failure.code, **job.get_log_fields()
+        )
 
     async def finish(self, job, finish_reason):
-        """Publish that a job has its whole answer."""
+        """Publish that a job is complete."""
         await job.publish(state=RequestState.DONE, finish_reason=finish_reason)
         counters = self.metrics.get_or_create(job.service)
         counters.done += 1
@@ -98,14 +100,16 @@
         metrics_module.record(
             counters.total, self.clock.since(job.accepted_ms)
         )
-        logger.info('request done', tokens=len(job.tokens), **job.labels())
+        logger.info(
+            'request done', tokens=len(job.tokens), **job.get_log_fields()
+        )
 
-    async def run_once(self, job, service):
+    async def run_non_idempotent(self, job, service):
         """Run a non-idempotent job.
 
-        Its caller is told the outcome before the log is.
+        The caller gets the outcome before it is appended to the log.
         """
-        outcome = await self.once.call(job, service)
+        outcome = await self.at_most_once_caller.call(job, service)
         if outcome.failure is not None:
             await self.fail(job, outcome.failure)
         else:
@@ -116,40 +120,42 @@
                 job.idempotency_key, outcome.publish, outcome.text
             )
 
-    async def run_repeatable(self, job, service):
-        """Run an idempotent job, moving on when an endpoint fails.
+    async def run_idempotent(self, job, service):
+        """Run an idempotent job; retry on another endpoint on failure.
 
-        :raises EndpointRefusedError: the engine refuses the request
-            itself; no other engine would take it.
+        :raises EndpointRefusedError: the engine rejected the request
+            as invalid; all other engines would, too.
         :raises CrashedEndpointsError: endpoints crash under it.
         """
         counters = self.metrics.get_or_create(job.service)
         tried = set()
         backoff = Backoff()
-        refuge = await self.revisit(job, service)
+        next_endpoint = await self.choose_resume_endpoint(job, service)
         while True:
             self.crashes.check_job(job)
-            endpoint = refuge or await self.places.choose(
+            endpoint = next_endpoint or await self.placement.choose(
                 job, service, tried, backoff
             )
-            refuge = None
+            next_endpoint = None
             progress = len(job.tokens)
-            begun_ms = self.clock.now()
+            started_ms = self.clock.now()
             try:
-                refuge = await self.run_on(job, service, endpoint)
+                next_endpoint = await self.run_on(job, service, endpoint)
             except exceptions.EndpointRefusedError:
                 raise
             except exceptions.BackendError as exc:
                 counters.retries += 1
                 logger.warning(
-                    'endpoint failed', error=exc.message, **job.labels()
+                    'endpoint failed',
+                    error=exc.message,
+                    **job.get_log_fields(),
                 )
                 tried.add(endpoint.id)
                 if not isinstance(exc, exceptions.EndpointUnreachableError):
-                    check = self.crashes.note_broken(
+                    check = self.crashes.check_for_crash(
                         job,
                         endpoint,
-                        self.clock.since(begun_ms),
+                        self.clock.since(started_ms),
                         len(job.tokens) > progress,
                     )
                     await self.crashes.wait_briefly(check)
@@ -157,18 +163,18 @@
                     backoff = Backoff()
                 await backoff.pause()
                 continue
-            if refuge is None:
+            if next_endpoint is None:
                 return
             counters.moves += 1
 
     async def run_on(self, job, service, endpoint):
-        """Serve a job on one endpoint.
+        """Run a job on one endpoint.
 
         :returns: ``None`` when the job is done, or the
-            :class:`Endpoint` to go on at because this one is being
+            :class:`Endpoint` to continue on because this one is being
             reclaimed.
         """
-        with self.places.occupy(job, endpoint):
+        with self.placement.track_in_flight(job, endpoint):
             match endpoint.kind:
                 case BackendKind.SERVICE:
                     text = await backends.call_service(
@@ -178,12 +184,13 @@
                     await self.finish(job, 'stop')
                     return None
                 case BackendKind.ENGINE:
-                    return await self.stream_from(job, service, endpoint)
+                    return await self.copy_stream(job, service, endpoint)
 
-    async def stream_from(self, job, service, endpoint):
-        """Copy an engine's tokens into the job, from where it stands.
+    async def copy_stream(self, job, service, endpoint):
+        """Append an engine's tokens to a job, after those it has.
 
-        :returns: ``None`` at the end, or where to go on.
+        :returns: ``None`` at the end, or the :class:`Endpoint` to
+            continue on.
         """
         last_ms = None
         stream = backends.stream_tokens(
@@ -196,49 +203,53 @@
                     return None
                 if index != len(job.tokens):
                     continue
-                last_ms = self.time_token(job, last_ms)
+                last_ms = self.record_token_latency(job, last_ms)
                 await job.add_token(token)
-                refuge = self.places.find_refuge(job, service, endpoint)
-                if refuge is not None:
+                next_endpoint = self.placement.find_migration_target(
+                    job, service, endpoint
+                )
+                if next_endpoint is not None:
                     break
-        await self.move(job, endpoint, refuge)
-        return refuge
+        await self.migrate(job, endpoint, next_endpoint)
+        return next_endpoint
 
-    def time_token(self, job, last_ms):
-        """Record the time to a token; return the time it came.
+    def record_token_latency(self, job, last_ms):
+        """Record the latency of a token: time to first token, or interval.
 
-        :param last_ms: when the stream's previous token came, or
+        :param last_ms: when the stream's previous token arrived, or
             ``None`` for its first.
+        :returns: the arrival time of this token.
         """
         now = self.clock.now()
         counters = self.metrics.get_or_create(job.service)
         if last_ms is not None:
             metrics_module.record(counters.itl, now - last_ms)
-            job.note_gap(now - last_ms)
+            job.update_token_interval(now - last_ms)
         elif not job.tokens:
             metrics_module.record(counters.ttft, now - job.accepted_ms)
         return now
 
-    async def revisit(self, job, service):
-        """Return where a job taken over is best continued.
+    async def choose_resume_endpoint(self, job, service):
+        """Select where to resume a job that was taken over.
 
-        Its cache is where it ran last: there, if that endpoint stays;
-        else it is carried to another one.
+        The KV cache is on the engine that last ran the job.  The job
+        resumes there if the engine accepts new requests; else the cache
+        is transferred to another one.
 
         :returns: an :class:`Endpoint`, or ``None`` for no preference.
         """
-        last = self.places.last_engine(job)
-        if last is None or self.places.is_live(last):
+        last = self.placement.find_last_engine(job)
+        if last is None or self.placement.accepts_new_work(last):
             return last
-        target = self.places.find(job, service)
+        target = self.placement.find(job, service)
         if target is not None:
-            await self.move(job, last, target)
+            await self.migrate(job, last, target)
         return target
 
-    async def move(self, job, source, target):
-        """Stop a stream at its old engine and carry its cache along."""
+    async def migrate(self, job, source, target):
+        """Transfer a stream's cache, then cancel it on the old engine."""
         if self.settings.host.move_cache:
-            await move_cache(
-                self.session, job, source, target, MOVE_TIMEOUT_MS
+            await transfer_cache(
+                self.session, job, source, target, MIGRATION_TIMEOUT_MS
             )
         await backends.cancel_stream(self.session, source, job)
