--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -46,7 +46,7 @@
         {z: Zone(daemons=3, engines=FLAGS.engines) for z in ZONES},
         [f'--decode_ms={decode_ms}', '--slots=64'],
         host=PRODUCTION_HOST,
-    ).begin()
+    ).start_all()
 
 
 def describe(histogram):
@@ -90,7 +90,7 @@
                     watch_version(
                         session, cluster.url(n), version, started, histogram
                     )
-                    for n in cluster.names('daemon')
+                    for n in cluster.list_names('daemon')
                 )
             )
             await asyncio.sleep(random.uniform(0, 0.5))
@@ -114,7 +114,11 @@
         """Keep one stream after the other going."""
         while self.going:
             name = random.choice(
-                [n for n in self.cluster.names('daemon') if n not in self.down]
+                [
+                    n
+                    for n in self.cluster.list_names('daemon')
+                    if n not in self.down
+                ]
             )
             prompt = f'caller {number} at {time.monotonic()}'
             body = {
@@ -222,7 +226,7 @@
             asyncio.create_task(load.call(n)) for n in range(FLAGS.callers)
         ]
         await asyncio.sleep(1)
-        for name in cluster.names('daemon'):
+        for name in cluster.list_names('daemon'):
             cluster.signal(name, 'TERM')
             load.down.add(name)
             await asyncio.to_thread(cluster.restart, name)
@@ -231,7 +235,7 @@
         load.going = False
         await asyncio.gather(*callers)
     return {
-        'daemons restarted': len(cluster.names('daemon')),
+        'daemons restarted': len(cluster.list_names('daemon')),
         'streams whole': load.whole,
         'streams cut': len(load.cut),
         'cut': load.cut[:5],
--- a/benchmarks/reclaim.py
+++ b/benchmarks/reclaim.py
@@ -89,7 +89,7 @@
         """Return a daemon the balancer would still send callers to."""
         names = [
             n
-            for n in self.cluster.names('daemon')
+            for n in self.cluster.list_names('daemon')
             if self.cluster.procs[n].poll() is None
         ]
         return self.cluster.url(random.choice(names))
@@ -149,7 +149,7 @@
     """Keep the newest counters of every process that answers."""
     paths = {'engine': '/v1/stats', 'daemon': '/v1/metrics'}
     for kind, path in paths.items():
-        for name in cluster.names(kind):
+        for name in cluster.list_names(kind):
             try:
                 async with session.get(cluster.url(name) + path) as reply:
                     totals[name] = await reply.json()
@@ -197,15 +197,15 @@
         watcher.cancel()
         await read_stats(session, cluster, totals)
         executions = collections.Counter()
-        for name in cluster.names('service'):
+        for name in cluster.list_names('service'):
             if cluster.procs[name].poll() is None:
                 async with session.get(
                     f'{cluster.url(name)}/v1/executions'
                 ) as reply:
                     executions.update((await reply.json())['executions'])
     outcomes = collections.Counter(c.outcome for _, c in callers)
-    engines = [totals[n] for n in cluster.names('engine') if n in totals]
-    daemons = [totals[n] for n in cluster.names('daemon') if n in totals]
+    engines = [totals[n] for n in cluster.list_names('engine') if n in totals]
+    daemons = [totals[n] for n in cluster.list_names('daemon') if n in totals]
 
     def count(name):
         return sum(m[name] for d in daemons for m in d['services'].values())
@@ -251,7 +251,7 @@
         host={'config_poll_ms': 250, **host},
     )
     try:
-        return asyncio.run(drive(cluster.begin()))
+        return asyncio.run(drive(cluster.start_all()))
     finally:
         cluster.stop()
 
--- a/benchmarks/slopes.py
+++ b/benchmarks/slopes.py
@@ -32,7 +32,7 @@
 from pearrun.api.router import Router
 from pearrun.states import MemberState
 from tests import builders
-from tests.cluster import BIN
+from tests.cluster import BIN_DIR
 from tests.cluster import call_json
 from tests.cluster import Cluster
 from tests.cluster import Zone
@@ -102,7 +102,7 @@
         return settings
 
     def __enter__(self):
-        return self.begin()
+        return self.start_all()
 
     def __exit__(self, *exc_info):
         self.stop()
@@ -113,7 +113,7 @@
 
     def traffic(self):
         """Return bytes the stand-ins exchanged with the daemons."""
-        names = ['log', 'cloud', *self.names('engine')]
+        names = ['log', 'cloud', *self.list_names('engine')]
         return sum(
             call_json(f'{self.url(n)}/admin/traffic')[2]['bytes']
             for n in names
@@ -247,7 +247,7 @@
             seconds = FLAGS.watch_s + 3
             proc = subprocess.Popen(
                 [
-                    f'{BIN}/python',
+                    f'{BIN_DIR}/python',
                     '-c',
                     code,
                     cluster.url('log'),
@@ -291,7 +291,7 @@
         cpu, started = read_cpu_ms(cluster.pid), time.monotonic()
         for _ in range(changes):
             cluster.apply_config()
-        cluster.wait_in_force(changes + 1)
+        cluster.wait_for_version(changes + 1)
         wall_ms = (time.monotonic() - started) * 1000
         busy = read_cpu_ms(cluster.pid) - cpu
     at_rest = idle['cpu_percent'] / 100 * wall_ms
--- a/pearrun/api/daemon.py
+++ b/pearrun/api/daemon.py
@@ -16,7 +16,7 @@
 
 from pearrun import exceptions
 from pearrun import logs
-from pearrun.api import intake
+from pearrun.api import routes
 from pearrun.api import settings as settings_module
 from pearrun.api import web
 from pearrun.api.claims import KeyClaims
@@ -153,7 +153,7 @@
         self.build()
         work = {
             'journal': self.journal.run(),
-            'progress': self.dispatcher.saver.keep_saving(
+            'progress': self.dispatcher.saver.save_periodically(
                 self.dispatcher.list_running
             ),
             'config': self.config.follow(),
@@ -305,7 +305,7 @@
     async def stop(app):
         await daemon.stop()
 
-    intake.install_routes(app, daemon)
+    routes.install_routes(app, daemon)
     return app
 
 
--- a/pearrun/api/departure.py
+++ b/pearrun/api/departure.py
@@ -72,7 +72,7 @@
     async def wait_for_readers(self):
         """Wait until no caller is being answered through this host."""
         deadline = self.clock.now() + self.settings.host.drain_timeout_ms
-        while self.lookup.followers and self.clock.now() < deadline:
+        while self.lookup.follower_count and self.clock.now() < deadline:
             await asyncio.sleep(to_seconds(READERS_POLL_MS))
 
     def on_reclaim(self, at_ms):
--- a/pearrun/api/dispatcher.py
+++ b/pearrun/api/dispatcher.py
@@ -7,9 +7,9 @@
 from pearrun import exceptions
 from pearrun.api import journal as journal_module
 from pearrun.api.crashes import JobCrashes
-from pearrun.api.saving import describe_acceptance
-from pearrun.api.saving import describe_end
-from pearrun.api.saving import Saver
+from pearrun.api.progress import build_accepted_entry
+from pearrun.api.progress import build_finished_entry
+from pearrun.api.progress import ProgressSaver
 from pearrun.api.structures import Job
 from pearrun.clock import Clock
 from pearrun.clock import to_seconds
@@ -54,7 +54,7 @@
         self.metrics = metrics
         self.crashes = crashes or JobCrashes()
         self.clock = Clock()
-        self.saver = Saver(settings, journal)
+        self.saver = ProgressSaver(settings, journal)
         self.jobs = {}
         self.by_key = {}
         self.running = {}
@@ -166,10 +166,10 @@
         :raises CapacityError: it could not be journaled.
         """
         try:
-            await self.journal.accept(describe_acceptance(job))
+            await self.journal.accept(build_accepted_entry(job))
         except exceptions.StreamSealedError:
             job.id = journal_module.new_request_id(self.journal.stream)
-            await self.journal.accept(describe_acceptance(job))
+            await self.journal.accept(build_accepted_entry(job))
 
     async def serve(self, job, service):
         """Start a job at once and journal it meanwhile.
@@ -179,14 +179,14 @@
             there later then, or the answer does.
         :raises JournalUnavailableError: too much waits for the log.
         """
-        if self.journal.full:
+        if self.journal.is_full:
             self.by_key.pop(job.idempotency_key, None)
             raise exceptions.JournalUnavailableError(
                 'the log service is behind', retry_after_s=1
             )
         self.metrics.of(job.service).accepted += 1
         self.start(job, service)
-        landed = self.journal.enqueue(describe_acceptance(job))
+        landed = self.journal.enqueue(build_accepted_entry(job))
         landed.add_done_callback(lambda done: note_landing(job, done))
         self.journal.wake.set()
         if not self.journal.failing:
@@ -233,7 +233,7 @@
     def start(self, job, service):
         """Run a journaled job in a task of its own."""
         self.jobs[job.id] = job
-        self.saver.begin(job)
+        self.saver.record_accepted(job)
         task = asyncio.create_task(self.runner.run(job, service), name=job.id)
         self.running[job.id] = task
         task.add_done_callback(lambda done: self.end(job, done))
@@ -254,7 +254,7 @@
         :returns: the future of the journal entry's landing.
         """
         self.forget_later(job)
-        return self.journal.enqueue(describe_end(job))
+        return self.journal.enqueue(build_finished_entry(job))
 
     def forget_later(self, job):
         """Drop a finished job when its answer has been kept a while."""
--- a/pearrun/api/journal.py
+++ b/pearrun/api/journal.py
@@ -29,7 +29,7 @@
 from pearrun.clock import Clock
 from pearrun.clock import to_seconds
 
-PREFIX = 'requests.'
+STREAM_PREFIX = 'requests.'
 MAX_BATCH = 256
 MAX_WAITING = 10_000
 RETRIES_PER_TIMEOUT = 40
@@ -56,17 +56,17 @@
 
     :param host: the daemon's :class:`HostSettings`.
     """
-    return f'{PREFIX}{host.name}.{uuid.uuid4().hex[:RUN_DIGITS]}'
+    return f'{STREAM_PREFIX}{host.name}.{uuid.uuid4().hex[:RUN_DIGITS]}'
 
 
 def new_request_id(stream):
     """Return a request id that names the journal holding it."""
-    return f'{stream.removeprefix(PREFIX)}.{uuid.uuid4().hex[:16]}'
+    return f'{stream.removeprefix(STREAM_PREFIX)}.{uuid.uuid4().hex[:16]}'
 
 
-def stream_of(request_id):
+def get_journal_stream(request_id):
     """Return the journal stream that first accepted a request."""
-    return PREFIX + request_id.rpartition('.')[0]
+    return STREAM_PREFIX + request_id.rpartition('.')[0]
 
 
 def _retrieve(future):
@@ -118,7 +118,7 @@
         await self.write(entry, durable=False)
 
     @property
-    def full(self):
+    def is_full(self):
         """Whether too much waits for the log to take on more."""
         return len(self.waiting) >= MAX_WAITING
 
--- a/pearrun/api/ledger.py
+++ b/pearrun/api/journalstate.py
@@ -6,7 +6,7 @@
 
 
 @dataclasses.dataclass
-class Ledger:
+class JournalState:
     """What a journal stream says, up to ``next_offset``.
 
     Replaying is idempotent: a batch that stands twice on the log, or
@@ -66,15 +66,15 @@
         self.next_offset = record.offset + 1
 
 
-async def read_ledger(log, stream):
+async def replay_journal(log, stream):
     """Replay a journal stream from the oldest record still held.
 
     :param log: a :class:`LogClient`.
     :param stream: the journal stream's name.
-    :returns: a :class:`Ledger`.
+    :returns: a :class:`JournalState`.
     :raises JournalUnavailableError: the log service is down.
     """
-    ledger = Ledger(stream)
+    ledger = JournalState(stream)
     records, ledger.next_offset = await log.read_all(stream)
     for record in records:
         ledger.apply_record(record)
--- a/pearrun/api/lookup.py
+++ b/pearrun/api/lookup.py
@@ -16,9 +16,9 @@
 from pearrun import exceptions
 from pearrun.api.backends import read_lines
 from pearrun.api.entries import Finished
-from pearrun.api.journal import PREFIX
-from pearrun.api.journal import stream_of
-from pearrun.api.ledger import read_ledger
+from pearrun.api.journal import get_journal_stream
+from pearrun.api.journal import STREAM_PREFIX
+from pearrun.api.journalstate import replay_journal
 from pearrun.api.members import Member
 from pearrun.api.structures import Job
 from pearrun.backoff import Backoff
@@ -69,7 +69,7 @@
         self.dispatcher = dispatcher
         self.membership = membership
         self.journal = journal
-        self.followers = 0
+        self.follower_count = 0
 
     async def locate(self, request_id, skip=()):
         """Find where a request is.
@@ -84,8 +84,8 @@
         job = self.dispatcher.find(request_id)
         if job is not None:
             return Local(job)
-        stream = stream_of(request_id)
-        if stream == PREFIX:
+        stream = get_journal_stream(request_id)
+        if stream == STREAM_PREFIX:
             raise exceptions.UnknownRequestError(f'no request {request_id!r}')
         moving = False
         for _ in range(MAX_CHAIN):
@@ -93,7 +93,7 @@
             alive = member is not None and not self.membership.is_dead(member)
             if alive and stream != self.journal.stream and stream not in skip:
                 return Remote(member)
-            ledger = await read_ledger(self.log, stream)
+            ledger = await replay_journal(self.log, stream)
             if request_id in ledger.finished:
                 return Stored(ledger.finished[request_id])
             known = request_id in ledger.unfinished
@@ -162,7 +162,7 @@
             ``(None, final)`` with the final state's JSON-ready map.
         :raises PearrunError: it could not be found for a minute.
         """
-        self.followers += 1
+        self.follower_count += 1
         try:
             async with contextlib.aclosing(
                 self.follow_on(request_id, start)
@@ -170,7 +170,7 @@
                 async for index, token in tokens:
                     yield index, token
         finally:
-            self.followers -= 1
+            self.follower_count -= 1
 
     async def follow_on(self, request_id, start):
         """Follow a request from host to host; see :meth:`follow`."""
--- a/pearrun/api/saving.py
+++ b/pearrun/api/progress.py
@@ -7,7 +7,7 @@
 from pearrun.clock import to_seconds
 
 
-def describe_acceptance(job):
+def build_accepted_entry(job):
     """Return a job's acceptance as a journal entry."""
     return entries.Accepted(
         id=job.id,
@@ -20,7 +20,7 @@
     )
 
 
-def describe_end(job):
+def build_finished_entry(job):
     """Return a job's final state as a journal entry."""
     return entries.Finished(
         id=job.id,
@@ -31,7 +31,7 @@
     )
 
 
-class Saver:
+class ProgressSaver:
     """Saves running jobs' progress.
 
     :param settings: the daemon's whole :class:`Settings`.
@@ -43,7 +43,7 @@
         self.journal = journal
         self.clock = Clock()
 
-    def begin(self, job):
+    def record_accepted(self, job):
         """Note that a job's acceptance has just been journaled."""
         job.saved_ms = self.clock.now()
 
@@ -58,7 +58,7 @@
         now = self.clock.now()
         keep_ms = self.settings.platform.retention_ms // 2
         if now - job.saved_ms >= keep_ms:
-            job.saving = self.journal.enqueue(describe_acceptance(job))
+            job.saving = self.journal.enqueue(build_accepted_entry(job))
             job.saved_ms = now
             job.saved = 0
         if self.settings.host.save_progress and len(job.tokens) > job.saved:
@@ -72,7 +72,7 @@
             )
             job.saved = len(job.tokens)
 
-    async def keep_saving(self, list_jobs):
+    async def save_periodically(self, list_jobs):
         """Save jobs again and again, for the daemon's whole life.
 
         :param list_jobs: returns the jobs that are running.
--- a/pearrun/api/recovery.py
+++ b/pearrun/api/recovery.py
@@ -24,7 +24,7 @@
 
 from pearrun import exceptions
 from pearrun.api import entries
-from pearrun.api.ledger import read_ledger
+from pearrun.api.journalstate import replay_journal
 from pearrun.api.router import rendezvous_score
 from pearrun.clock import to_seconds
 
@@ -112,12 +112,12 @@
     async def seal(self, stream):
         """Seal a stream for this daemon.
 
-        :returns: the :class:`Ledger` as sealed, or ``None`` when
+        :returns: the :class:`JournalState` as sealed, or ``None`` when
             another live daemon holds it or nothing is left to do.
         """
         own = self.journal.stream
         for _ in range(MAX_TRIES):
-            ledger = await read_ledger(self.log, stream)
+            ledger = await replay_journal(self.log, stream)
             if ledger.emptied:
                 self.membership.forget(stream)
                 return None
--- a/pearrun/api/web.py
+++ b/pearrun/api/web.py
@@ -33,7 +33,7 @@
     )
 
 
-def install_admin(app):
+def install_admin_routes(app):
     """Add what tests and measurements need of any stand-in.
 
     ``GET /admin/traffic`` answers ``{requests, bytes}``: heads and
--- a/pearrun/standins/main.py
+++ b/pearrun/standins/main.py
@@ -76,7 +76,7 @@
     del argv
     logs.configure(f'standin-{FLAGS.kind}', FLAGS.zone, FLAGS.log_format)
     app = build(FLAGS.kind)
-    web.install_admin(app)
+    web.install_admin_routes(app)
     web.serve(app, FLAGS.host, FLAGS.port)
 
 
--- a/tests/cluster.py
+++ b/tests/cluster.py
@@ -14,7 +14,7 @@
 
 from tests import builders
 
-BIN = os.path.dirname(sys.executable)
+BIN_DIR = os.path.dirname(sys.executable)
 START_TIMEOUT_S = 30
 FAST_HOST = {
     'config_poll_ms': 50,
@@ -118,7 +118,7 @@
         """Return the base URL of a process."""
         return f'http://127.0.0.1:{self.ports[name]}'
 
-    def names(self, kind):
+    def list_names(self, kind):
         """Return the names of the processes of one kind."""
         return [n for n, k in self.kinds.items() if k == kind]
 
@@ -133,7 +133,7 @@
         self.argv[name] = argv
         out = open(os.path.join(self.workdir, f'{name}.log'), 'ab')
         self.procs[name] = subprocess.Popen(
-            [os.path.join(BIN, argv[0]), *argv[1:]],
+            [os.path.join(BIN_DIR, argv[0]), *argv[1:]],
             stdout=out,
             stderr=subprocess.STDOUT,
         )
@@ -181,12 +181,15 @@
 
     def start_links(self):
         """Start each daemon's links: platform, peers, other zones."""
-        for name in self.names('daemon'):
+        for name in self.list_names('daemon'):
             self.start_link(f'link-{name}-log', 'log')
             self.start_link(f'link-{name}-cloud', 'cloud')
             for peer in self.peers_of(name):
                 self.start_link(f'link-{name}-{peer}', peer)
-            for endpoint in [*self.names('engine'), *self.names('service')]:
+            for endpoint in [
+                *self.list_names('engine'),
+                *self.list_names('service'),
+            ]:
                 if self.zone_of[endpoint] != self.zone_of[name]:
                     self.start_link(f'link-{name}-{endpoint}', endpoint)
 
@@ -195,7 +198,7 @@
         zone = self.zone_of[name]
         return [
             n
-            for n in self.names('daemon')
+            for n in self.list_names('daemon')
             if self.zone_of[n] == zone and n != name
         ]
 
@@ -205,11 +208,11 @@
 
     def set_links(self, name, mode):
         """Set every link of a daemon to ``open``, ``cut`` or ``silent``."""
-        for link in self.names('link'):
+        for link in self.list_names('link'):
             if link.startswith(f'link-{name}-'):
                 call_json(f'{self.url(link)}/admin/link', {'mode': mode})
 
-    def begin(self):
+    def start_all(self):
         """Start everything and publish the team tree."""
         self.plan('log', 'log')
         self.plan('cloud', 'cloud')
@@ -223,9 +226,9 @@
         hosts = [f'{n}:{z}' for n, z in self.zone_of.items() if z != '-']
         self.start_standin('log', *self.log_flags)
         self.start_standin('cloud', f'--hosts={",".join(hosts)}')
-        for name in self.names('engine'):
+        for name in self.list_names('engine'):
             self.start_standin(name, *self.engine_flags)
-        for name in self.names('service'):
+        for name in self.list_names('service'):
             self.start_standin(name)
         for name, kind in self.kinds.items():
             if kind != 'daemon':
@@ -233,14 +236,14 @@
         self.apply_config()
         if self.links:
             self.start_links()
-        for name in self.names('daemon'):
+        for name in self.list_names('daemon'):
             path = os.path.join(self.workdir, f'{name}.yaml')
             with open(path, 'w', encoding='utf-8') as handle:
                 yaml.safe_dump(self.daemon_settings(name), handle)
             self.start(name, 'pearrund', f'--settings={path}')
-        for name in self.names('daemon'):
+        for name in self.list_names('daemon'):
             self.wait_healthy(name)
-        self.wait_in_force(1)
+        self.wait_for_version(1)
         return self
 
     def daemon_settings(self, name):
@@ -258,7 +261,7 @@
                 'kind': self.kinds[n],
                 'services': builders.SERVICES_OF[self.kinds[n]],
             }
-            for n in [*self.names('engine'), *self.names('service')]
+            for n in [*self.list_names('engine'), *self.list_names('service')]
         ]
         return {
             'host': {
@@ -284,10 +287,10 @@
 
     def run_cli(self, *args):
         """Run the ``pearrun`` tool against this cluster."""
-        daemons = ','.join(self.url(n) for n in self.names('daemon'))
+        daemons = ','.join(self.url(n) for n in self.list_names('daemon'))
         return subprocess.run(
             [
-                os.path.join(BIN, 'pearrun'),
+                os.path.join(BIN_DIR, 'pearrun'),
                 f'--log_url={self.url("log")}',
                 f'--daemons={daemons}',
                 *args,
@@ -309,9 +312,9 @@
         """Return a daemon's ``/v1/status``."""
         return call_json(f'{self.url(name)}/v1/status')[2]
 
-    def wait_in_force(self, version):
+    def wait_for_version(self, version):
         """Wait until every daemon has a configuration version."""
-        for name in self.names('daemon'):
+        for name in self.list_names('daemon'):
             wait_until(
                 lambda n=name: self.status(n)['config_version'] >= version,
                 what=f'version {version} on {name}',
--- a/tests/scenarios.py
+++ b/tests/scenarios.py
@@ -36,7 +36,7 @@
     def play(self):
         """Play every step; an assertion fails the scenario."""
         try:
-            self.cluster.begin()
+            self.cluster.start_all()
             for step in self.scenario.steps:
                 [(kind, value)] = step.model_dump(exclude_none=True).items()
                 getattr(self, f'do_{kind}')(getattr(step, kind) or value)
@@ -135,7 +135,7 @@
 
     def do_executions(self, executions):
         total = 0
-        for name in self.cluster.names('service'):
+        for name in self.cluster.list_names('service'):
             url = f'{self.cluster.url(name)}/v1/executions'
             counts = cluster_module.call_json(url)[2]['executions']
             total += sum(
@@ -148,7 +148,7 @@
 
     def engine_counts(self):
         started = {}
-        for name in self.cluster.names('engine'):
+        for name in self.cluster.list_names('engine'):
             if self.cluster.procs[name].poll() is None:
                 url = f'{self.cluster.url(name)}/v1/started'
                 started[name] = cluster_module.call_json(url)[2]['started']
@@ -186,7 +186,7 @@
         before = self.engine_counts()[rule.endpoint]
         deadline = time.monotonic() + rule.for_ms / 1000
         while time.monotonic() < deadline:
-            for name in self.cluster.names('daemon'):
+            for name in self.cluster.list_names('daemon'):
                 send = steps.Send(name='probe', to=name, tokens=2)
                 callers.Call(
                     send, time.monotonic_ns(), self.cluster.url(name)
--- a/tests/test_bench.py
+++ b/tests/test_bench.py
@@ -106,10 +106,13 @@
 def test_bench_plays_policies_and_writes_report_and_plot(tmp_path):
     cluster = Cluster(tmp_path, {'z': Zone(engines=2)}, ['--decode_ms=2'])
     try:
-        cluster.begin()
+        cluster.start_all()
         hosts = [
             {'id': n, 'zone': 'z', 'url': cluster.url(n)}
-            for n in [*cluster.names('engine'), *cluster.names('service')]
+            for n in [
+                *cluster.list_names('engine'),
+                *cluster.list_names('service'),
+            ]
         ]
         tree = plan_tree(
             daemons=[cluster.url('z-1')],
--- a/tests/test_dispatcher.py
+++ b/tests/test_dispatcher.py
@@ -6,7 +6,7 @@
 from pearrun.api import journal as journal_module
 from pearrun.api.config import ConfigFollower
 from pearrun.api.dispatcher import Dispatcher
-from pearrun.api.ledger import read_ledger
+from pearrun.api.journalstate import replay_journal
 from pearrun.api.models import CompletionBody
 from pearrun.api.router import Router
 from pearrun.metrics import MetricsTable
@@ -49,7 +49,7 @@
         tasks = [
             asyncio.create_task(journal.run()),
             asyncio.create_task(
-                dispatcher.saver.keep_saving(dispatcher.list_running)
+                dispatcher.saver.save_periodically(dispatcher.list_running)
             ),
         ]
         try:
@@ -72,7 +72,7 @@
         job = await submit(dispatcher)
         await asyncio.sleep(0.9)
         log.expire(dispatcher.journal.stream, 2)
-        return job, await read_ledger(log, dispatcher.journal.stream)
+        return job, await replay_journal(log, dispatcher.journal.stream)
 
     job, ledger = play(scenario, retention_ms=1000)
     assert set(ledger.unfinished) == {job.id}
@@ -96,7 +96,7 @@
         job = await submit(dispatcher)
         await job.wait_beyond(2)
         await dispatcher.hand_over()
-        return job, await read_ledger(log, dispatcher.journal.stream)
+        return job, await replay_journal(log, dispatcher.journal.stream)
 
     job, ledger = play(scenario)
     assert job.handed_over
@@ -108,7 +108,7 @@
         job = await submit(dispatcher)
         await job.wait_beyond(2)
         await dispatcher.hand_over()
-        ledger = await read_ledger(log, dispatcher.journal.stream)
+        ledger = await replay_journal(log, dispatcher.journal.stream)
         entry = ledger.unfinished[job.id]
         dispatcher.adopt(entry, ledger.progress[job.id])
         adopted = dispatcher.jobs[job.id]
@@ -129,11 +129,11 @@
         await log.append(old, {'batch': 'seal', 'entries': [seal]})
         job = await submit(dispatcher)
         new = dispatcher.journal.stream
-        return old, job, await read_ledger(log, new)
+        return old, job, await replay_journal(log, new)
 
     old, job, ledger = play(scenario)
     assert set(ledger.unfinished) == {job.id}
-    assert journal_module.stream_of(job.id) == ledger.stream != old
+    assert journal_module.get_journal_stream(job.id) == ledger.stream != old
 
 
 def test_caller_that_leaves_while_being_accepted_leaves_no_orphan():
@@ -144,7 +144,7 @@
         await asyncio.sleep(0)
         asking.cancel()
         await asyncio.sleep(0.05)
-        ledger = await read_ledger(log, dispatcher.journal.stream)
+        ledger = await replay_journal(log, dispatcher.journal.stream)
         return set(ledger.unfinished), set(dispatcher.running)
 
     unfinished, running = play(scenario)
@@ -160,7 +160,7 @@
         told = job.durable
         log.down = False
         await asyncio.sleep(0.1)
-        ledger = await read_ledger(log, dispatcher.journal.stream)
+        ledger = await replay_journal(log, dispatcher.journal.stream)
         return told, job, ledger
 
     told, job, ledger = play(scenario)
--- a/tests/test_end_to_end.py
+++ b/tests/test_end_to_end.py
@@ -10,7 +10,7 @@
 import pytest
 
 from pearrun.standins import text
-from tests.cluster import BIN
+from tests.cluster import BIN_DIR
 from tests.cluster import call
 from tests.cluster import call_json
 from tests.cluster import Cluster
@@ -26,7 +26,7 @@
     started = Cluster(
         tmp_path_factory.mktemp('cluster'), zones, ['--decode_ms=2']
     )
-    yield started.begin()
+    yield started.start_all()
     started.stop()
 
 
@@ -176,7 +176,7 @@
     path = tmp_path / 'bad.yaml'
     path.write_text('host:\n  name: x\n  zone: z\n  listen: {port: 0}\n')
     done = subprocess.run(
-        [os.path.join(BIN, 'pearrund'), f'--settings={path}'],
+        [os.path.join(BIN_DIR, 'pearrund'), f'--settings={path}'],
         capture_output=True,
         text=True,
         timeout=30,
--- a/tests/test_journal.py
+++ b/tests/test_journal.py
@@ -11,7 +11,7 @@
 from pearrun import exceptions
 from pearrun.api import entries
 from pearrun.api import journal as journal_module
-from pearrun.api.ledger import read_ledger
+from pearrun.api.journalstate import replay_journal
 from pearrun.api.recovery import Recovery
 from tests import builders
 
@@ -203,11 +203,11 @@
                 if stream != survivor.journal.stream:
                     self.run(self.take_over(survivor, stream))
             self.settle(3 * TIMEOUT_MS)
-        own = self.run(read_ledger(log, survivor.journal.stream))
+        own = self.run(replay_journal(log, survivor.journal.stream))
         owed = set(own.unfinished)
         ended = set()
         for stream in self.streams:
-            ledger = self.run(read_ledger(log, stream))
+            ledger = self.run(replay_journal(log, stream))
             ended |= set(ledger.finished)
             if stream != survivor.journal.stream:
                 assert ledger.emptied
@@ -259,7 +259,7 @@
     async def scenario(log, journal):
         log.lose_answers = 1
         await journal.accept(builders.accepted('h.1.a'))
-        return await read_ledger(log, journal.stream)
+        return await replay_journal(log, journal.stream)
 
     assert set(run_with_journal(scenario).unfinished) == {'h.1.a'}
 
@@ -271,7 +271,7 @@
             await journal.accept(builders.accepted('h.1.a'))
         log.down = False
         await journal.write(entries.Finished('h.1.b', 'done'))
-        return caught.value, await read_ledger(log, journal.stream)
+        return caught.value, await replay_journal(log, journal.stream)
 
     failure, ledger = run_with_journal(scenario)
     assert failure.not_run
@@ -289,7 +289,7 @@
             await journal.accept(builders.accepted('h.1.a'))
         log.lose_appends = 0
         await journal.write(entries.Finished('h.1.b', 'done'))
-        return caught.value, await read_ledger(log, journal.stream)
+        return caught.value, await replay_journal(log, journal.stream)
 
     failure, ledger = run_with_journal(scenario)
     assert not failure.not_run
--- a/tests/test_lookup.py
+++ b/tests/test_lookup.py
@@ -63,8 +63,8 @@
 def test_a_request_on_its_way_to_another_journal_is_never_unknown():
     """Between the seal and the successor's own entry it is in neither."""
     log = builders.FakeLog()
-    old = journal_module.stream_of(REQUEST_ID)
-    new = journal_module.PREFIX + 'new-1'
+    old = journal_module.get_journal_stream(REQUEST_ID)
+    new = journal_module.STREAM_PREFIX + 'new-1'
     lookup = make_lookup(log, new)
     accepted = entries.Accepted(
         REQUEST_ID, 'customer', 'pearrun-oficina', 'p', 8
@@ -88,7 +88,7 @@
 
 def test_a_request_that_no_journal_holds_is_unknown():
     log = builders.FakeLog()
-    lookup = make_lookup(log, journal_module.PREFIX + 'new-1')
+    lookup = make_lookup(log, journal_module.STREAM_PREFIX + 'new-1')
     with pytest.raises(exceptions.UnknownRequestError):
         locate(lookup)
 
@@ -96,8 +96,8 @@
 def test_a_request_of_a_host_that_is_cut_off_is_not_called_unknown():
     """It may be served there and written once the log is back."""
     log = builders.FakeLog()
-    old = journal_module.stream_of(REQUEST_ID)
-    new = journal_module.PREFIX + 'new-1'
+    old = journal_module.get_journal_stream(REQUEST_ID)
+    new = journal_module.STREAM_PREFIX + 'new-1'
     lookup = make_lookup(log, new, SilentWriter())
     with pytest.raises(exceptions.RequestMovingError) as caught:
         locate(lookup)
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -16,7 +16,7 @@
 @pytest.fixture
 def cluster(tmp_path):
     started = Cluster(tmp_path, {'khomas-a': Zone(engines=2)})
-    yield started.begin()
+    yield started.start_all()
     started.stop()
 
 
