--- a/pearrun/api/__init__.py
+++ b/pearrun/api/__init__.py
@@ -1,6 +1,7 @@
-"""pearrun's own interface (``/v1/...``): requests that outlive their host.
+"""pearrun's own API (``/v1/...``): requests that survive host failures.
 
-A daemon accepts a request, writes it to the platform's log, runs it on an
-endpoint and goes on elsewhere when the endpoint or the daemon itself ends.
-``daemon`` starts all of it; ``docs/design.md`` says who calls whom.
+A daemon writes each accepted request to the platform's log and runs it on
+an endpoint.  When the endpoint fails, the daemon resumes the request on
+another one; when the daemon fails, another daemon takes it over.
+``daemon`` starts all parts; ``docs/design.md`` describes how they interact.
 """
--- a/pearrun/api/config.py
+++ b/pearrun/api/config.py
@@ -2,11 +2,12 @@
 
 A published record is ``{"version": n, "yaml": text, "team": name,
 "nonce": id}``.  Publishers compare-and-append at the stream's next
-offset, so two operators racing cannot both win; the loser gets a
-conflict error (code 1600) and reads again.  Followers apply a record
-only when its version is above the one in force, so configuration
-never reverts.  Before the log's retention drops the newest record, a
-follower appends it again, at the head it has read up to.
+offset, so of two concurrent publishers only one succeeds; the other
+gets a conflict error (code 1600) and has to read the stream again.
+Followers apply a record only if its version is above the current one,
+so the configuration never reverts to an older version.  Before the
+newest record reaches the log's retention limit, a follower appends it
+again, on condition that the follower has read the whole stream.
 """
 
 import asyncio
@@ -21,7 +22,7 @@
 from pearrun.clock import Clock
 from pearrun.clock import to_seconds
 
-MAX_TRIES = 5
+MAX_APPEND_ATTEMPTS = 5
 
 
 def tree_to_yaml(tree):
@@ -33,10 +34,10 @@
 
 
 async def read_latest(log, stream):
-    """Read a config stream to its end.
+    """Return the newest valid tree of a config stream.
 
-    :returns: ``(tree, next_offset)``; ``tree`` is the newest valid
-        :class:`TeamTree`, or ``None`` if there is none.
+    :returns: ``(tree, next_offset)``; ``tree`` is a :class:`TeamTree`,
+        or ``None`` if the stream holds no valid one.
     """
     records, head = await log.read_all(stream)
     for record in reversed(records):
@@ -47,37 +48,37 @@
 
 
 def parse_record(value):
-    """Turn a published record into a :class:`TeamTree`, or ``None``."""
+    """Parse a record into a :class:`TeamTree`; ``None`` if invalid."""
     try:
         return settings_module.parse_yaml(
             value['yaml'], settings_module.TeamTree, source='config record'
         )
     except (exceptions.SettingsError, KeyError, TypeError) as exc:
-        logger.warning('skipping bad config record', error=str(exc))
+        logger.warning('invalid config record skipped', error=str(exc))
         return None
 
 
 def merge_branch(current, change, team):
     """Return the published teams with one team's branch replaced.
 
-    :param current: the :class:`TeamTree` in force, or ``None``.
-    :param change: a :class:`TeamTree` holding the new branch.
+    :param current: the latest published :class:`TeamTree`, or ``None``.
+    :param change: a :class:`TeamTree` with the new branch.
     :param team: the only team whose branch may differ.
     :raises SettingsValueError: ``team`` is not in ``change``, or no
-        tree is published that the branch could be put in.
+        tree has been published yet.
     :raises ForeignBranchError: another team's branch differs.
     """
     if team not in change.teams:
         raise exceptions.SettingsValueError(f'team {team!r} not in the file')
     if current is None:
         raise exceptions.SettingsValueError(
-            'no tree is published yet: publish a whole one first'
+            'no tree has been published yet: publish a complete one first'
         )
     for name, branch in change.teams.items():
         if name != team and current.teams.get(name) != branch:
             raise exceptions.ForeignBranchError(
                 f'the file changes the branch of {name!r}, '
-                f'and only {team!r} may be changed'
+                f'but only {team!r} may be changed'
             )
     return {**current.teams, team: change.teams[team]}
 
@@ -85,25 +86,29 @@
 async def publish(log, stream, change, team=None):
     """Publish a new version of the tree with compare-and-append.
 
-    A lost answer is settled by appending again at the same offset and
-    reading back what stands there.
+    If the response to an append is lost, the record is appended again at
+    the same offset.  A conflict then means that the offset is taken, and
+    the nonce of the record at the offset tells whether it is this one.
 
     :param log: a :class:`LogClient`.
     :param stream: the config stream name.
-    :param change: a :class:`TeamTree` holding the change.
-    :param team: when given, only this team's branch may change.
+    :param change: the :class:`TeamTree` to publish.
+    :param team: if given, only this team's branch may change.
     :returns: ``(version, offset)`` of the published record.
-    :raises ConfigConflictError: another publisher got there first.
+    :raises ConfigConflictError: another publisher appended first.
     :raises SettingsValueError: see :func:`merge_branch`.
     :raises ForeignBranchError: see :func:`merge_branch`.
-    :raises JournalUnavailableError: not published, or (1404) unknown.
+    :raises JournalUnavailableError: not published.
+    :raises AmbiguousAppendError: it is unknown whether the record was
+        published (code 1404).
     """
     current, head = await read_latest(log, stream)
     if team is None:
         teams = dict(change.teams)
     else:
         teams = merge_branch(current, change, team)
-    # With nothing left on the log, the head is above all old versions.
+    # Each version takes at least one record, so on a stream whose records
+    # have all expired the next offset is at least the last version.
     version = (current.version if current is not None else head) + 1
     tree = settings_module.TeamTree(version=version, teams=teams)
     nonce = uuid.uuid4().hex
@@ -114,7 +119,7 @@
         'nonce': nonce,
     }
     failure = None
-    for _ in range(MAX_TRIES):
+    for _ in range(MAX_APPEND_ATTEMPTS):
         try:
             return version, await log.append(
                 stream, value, expected_offset=head
@@ -132,12 +137,12 @@
 
 
 class ConfigFollower:
-    """Keeps the team tree in force on one daemon up to date.
+    """Keeps one daemon's team tree up to date.
 
     :param log: a :class:`LogClient`.
-    :param settings: the daemon's whole :class:`Settings`.
-    :param on_change: called without arguments when a newer tree is in
-        force.
+    :param settings: the daemon's complete :class:`Settings`.
+    :param on_change: called without arguments after a newer tree has
+        been applied.
     """
 
     def __init__(self, log, settings, on_change=None):
@@ -147,11 +152,14 @@
         self.clock = Clock()
         self.tree = settings.team_tree()
         self.next_offset = 0
-        self.newest = None
-        self.seen_ms = None
+        self.newest_record = None
+        self.newest_seen_ms = None
 
     def apply(self, tree):
-        """Put a tree in force if it is newer; say whether it was."""
+        """Apply a tree if it is newer than the current one.
+
+        :returns: whether the tree was applied.
+        """
         if tree is None or tree.version <= self.tree.version:
             return False
         self.tree = tree
@@ -161,44 +169,46 @@
         return True
 
     def receive(self, text):
-        """Take a tree's YAML from a peer, which has it from the log."""
+        """Apply a tree that a peer has read from the log, as YAML text."""
         return self.apply(parse_record({'yaml': text}))
 
     async def poll_once(self):
-        """Read what is new on the stream and apply it.
+        """Read and apply the new records of the stream.
 
-        :raises JournalUnavailableError: the log service is down.
+        :raises JournalUnavailableError: the log service is unavailable.
         """
         records, self.next_offset = await self.log.read_all(
             self.settings.platform.config_stream, self.next_offset
         )
         for record in records:
-            self.seen_ms = self.clock.now()
-            newest = self.newest['version'] if self.newest else -1
+            self.newest_seen_ms = self.clock.now()
+            newest = (
+                self.newest_record['version'] if self.newest_record else -1
+            )
             if record.value.get('version', -1) >= newest:
-                self.newest = record.value
+                self.newest_record = record.value
             self.apply(parse_record(record.value))
 
-    async def refresh(self):
-        """Append the newest record again before retention drops it.
+    async def republish_before_expiry(self):
+        """Append the newest record again before its retention ends.
 
-        What is appended is the record itself, not the tree in force
-        here, which may be older if this daemon cannot read it.  The
-        append lands only if this daemon has read the stream to its
-        head, so it can never put an older record behind a newer one.
+        The record itself is appended, not this daemon's current tree,
+        which may be older if this daemon cannot parse the record.  The
+        append fails unless this daemon has read the whole stream, so it
+        never appends an older record after a newer one.
 
-        :returns: true when a record was appended.
+        :returns: whether a record was appended.
         """
-        if self.newest is None:
+        if self.newest_record is None:
             return False
         keep_ms = self.settings.platform.retention_ms // 4
         keep_ms += random.randrange(keep_ms // 2)
-        if self.clock.since(self.seen_ms) < keep_ms:
+        if self.clock.since(self.newest_seen_ms) < keep_ms:
             return False
         try:
             await self.log.append(
                 self.settings.platform.config_stream,
-                self.newest,
+                self.newest_record,
                 expected_offset=self.next_offset,
             )
         except exceptions.PearrunError:
@@ -206,12 +216,12 @@
         return True
 
     async def follow(self):
-        """Poll the config stream for the daemon's whole life."""
+        """Poll the config stream until cancelled."""
         pause = to_seconds(self.settings.host.config_poll_ms)
         while True:
             try:
                 await self.poll_once()
-                await self.refresh()
+                await self.republish_before_expiry()
             except exceptions.JournalUnavailableError:
                 pass
             await asyncio.sleep(pause)
--- a/pearrun/api/daemon.py
+++ b/pearrun/api/daemon.py
@@ -1,8 +1,8 @@
 """The daemon ``pearrund``: one per entry host.
 
-It wires the parts together: intake routes, the dispatcher, the
-router, the acceptance journal, the config follower, the host watcher
-and the peer links, and runs them on one uvloop event loop.
+Creates and connects the parts of the daemon (HTTP routes, dispatcher,
+router, request journal, config follower, host watcher and peer links)
+and runs them on one uvloop event loop.
 """
 
 import asyncio
@@ -43,14 +43,14 @@
 FLAGS = flags.FLAGS
 flags.DEFINE_string('settings', None, 'Path of the YAML settings file.')
 flags.DEFINE_enum('log_format', 'text', ['text', 'json'], 'Log format.')
-flags.DEFINE_string('log_level', 'INFO', 'Lowest log level written.')
+flags.DEFINE_string('log_level', 'INFO', 'Minimum log level.')
 
 
 class Daemon:
-    """The parts of one daemon, built from its whole settings.
+    """The parts of one daemon, built from its settings.
 
-    :param settings: a checked :class:`Settings`.
-    :param path: the file they came from, read again on SIGHUP.
+    :param settings: a validated :class:`Settings`.
+    :param path: the settings file, reloaded on SIGHUP.
     """
 
     def __init__(self, settings, path=None):
@@ -73,14 +73,14 @@
         self.tasks = []
 
     def build(self):
-        """Build the parts that need a running event loop."""
+        """Create the parts that need a running event loop."""
         timeout = aiohttp.ClientTimeout(total=None, sock_connect=2)
         self.session = aiohttp.ClientSession(
             timeout=timeout, connector=aiohttp.TCPConnector(limit=0)
         )
         settings = self.settings
         log = LogClient(self.session, settings.platform)
-        self.config = ConfigFollower(log, settings, self.on_config)
+        self.config = ConfigFollower(log, settings, self.on_config_change)
         self.peers = Peers(settings, self.router, self.config)
         pace = Pace(settings.platform.appends_per_s, self.count_daemons)
         self.journal = Journal(log, settings, self.on_sealed, pace)
@@ -88,7 +88,7 @@
             log,
             settings,
             self.describe,
-            self.hear_leaving,
+            self.on_endpoint_leaving,
             self.crashes.receive,
         )
         self.crashes.quarantine.tell_others = self.membership.beat_now.set
@@ -130,7 +130,7 @@
             self.session,
             settings,
             self.router,
-            self.announce_leaving,
+            self.announce_endpoint_leaving,
             self.departure.on_reclaim,
         )
         self.orders = OrderKeeper(
@@ -149,25 +149,25 @@
         )
 
     async def start(self):
-        """Open connections and start the background tasks."""
+        """Create the parts and start the background tasks."""
         self.build()
-        work = {
+        coroutines = {
             'journal': self.journal.run(),
             'progress': self.dispatcher.saver.save_periodically(
                 self.dispatcher.list_running
             ),
             'config': self.config.follow(),
             'beats': self.membership.keep_beating(),
-            'recovery': self.watch_members(),
+            'recovery': self.watch_for_failover(),
             'cloud': self.hosts.watch_cloud(),
             'loads': self.hosts.watch_loads(),
             'orders': self.orders.watch(),
         }
         for url in self.peers.links:
-            work[url] = self.peers.keep_link(url)
+            coroutines[url] = self.peers.keep_link(url)
         self.tasks = [
             asyncio.create_task(coroutine, name=name)
-            for name, coroutine in work.items()
+            for name, coroutine in coroutines.items()
         ]
         if self.path is not None:
             asyncio.get_running_loop().add_signal_handler(
@@ -176,16 +176,16 @@
         logger.info('daemon started', name=self.settings.host.name)
 
     def reload(self):
-        """Read the settings file again and take its endpoints over.
+        """Reload the settings file and apply its endpoints and teams.
 
-        A bad file changes nothing: the last good settings stay.  The
-        ``host`` and ``platform`` branches need a restart.
+        If the file is invalid, the previous settings stay in use.
+        Changes to ``host`` and ``platform`` need a restart.
         """
         try:
             settings = settings_module.load(self.path)
         except exceptions.SettingsError as exc:
             logger.error(
-                'bad settings; the last good ones stay',
+                'invalid settings; previous settings kept',
                 code=exc.code,
                 error=exc.message,
             )
@@ -193,26 +193,26 @@
         if settings.host != self.settings.host or (
             settings.platform != self.settings.platform
         ):
-            logger.warning('host and platform settings need a restart')
+            logger.warning('changed host or platform settings need a restart')
         self.router.replace(settings.endpoints)
         self.config.apply(settings.team_tree())
-        logger.info('settings read again', endpoints=len(settings.endpoints))
+        logger.info('settings reloaded', endpoints=len(settings.endpoints))
 
-    async def watch_members(self):
-        """Recover dead hosts' requests once a configuration is known."""
+    async def watch_for_failover(self):
+        """Run failover for dead hosts once a configuration is known."""
         while self.config.tree.version == 0:
             await asyncio.sleep(to_seconds(self.settings.host.members_poll_ms))
         await self.recovery.watch()
 
     async def stop(self):
-        """Leave, then close everything."""
+        """Hand over or finish all requests, then stop the daemon."""
         await self.departure.stop()
         for task in self.tasks:
             task.cancel()
         await self.session.close()
 
     def describe(self):
-        """Return this daemon as a :class:`Member`, for its beats."""
+        """Return this daemon's :class:`Member` record for its heartbeats."""
         listen = self.settings.host.listen
         return Member(
             name=self.settings.host.name,
@@ -225,37 +225,38 @@
             suspects=self.crashes.describe(),
         )
 
-    def on_config(self):
-        """Act on a newer team tree being in force."""
+    def on_config_change(self):
+        """Announce the newly applied configuration version at once."""
         self.membership.beat_now.set()
 
     def count_daemons(self):
-        """Return how many daemons share the log's append rate."""
+        """Return the number of daemons that share the append rate limit."""
         return len(self.membership.live())
 
-    def announce_leaving(self, endpoint_id):
-        """Tell every daemon that an endpoint takes no new work.
+    def announce_endpoint_leaving(self, endpoint_id):
+        """Announce to all daemons that an endpoint takes no new work.
 
-        Peers of the zone hear it over their links, the other zones
-        through the next beat, which is sent at once.
+        Peers in this zone are told over their peer links, daemons in
+        other zones by a heartbeat, which is sent at once.
         """
         self.peers.broadcast_leaving(endpoint_id)
         self.membership.beat_now.set()
 
-    def hear_leaving(self, endpoint_id):
-        """Note an endpoint that another daemon reports as leaving."""
+    def on_endpoint_leaving(self, endpoint_id):
+        """Mark an endpoint that another daemon reports as leaving."""
         self.router.mark(endpoint_id, EndpointState.LEAVING)
 
     def on_sealed(self):
-        """Act on another host having taken over this host's journal.
+        """Handle the takeover of this host's journal by another host.
 
-        A host that is leaving has asked for it.
+        This is expected while the host is shutting down, since it then
+        asks for the takeover.
         """
         self.dispatcher.on_sealed()
         self.membership.beat_now.set()
 
-    def status(self):
-        """Return what an operator sees, JSON-ready."""
+    def describe_status(self):
+        """Return the body of ``/v1/status``, JSON-serializable."""
         return {
             'name': self.settings.host.name,
             'zone': self.settings.host.zone,
@@ -275,7 +276,7 @@
             'peers': self.peers.to_body(),
             'journal': {
                 'stream': self.journal.stream,
-                'open': len(self.journal.open),
+                'open': len(self.journal.open_requests),
                 'appends': self.journal.appends,
                 'adopted': self.recovery.adopted,
             },
@@ -287,9 +288,10 @@
 
 
 def build_app(settings, path=None):
-    """Build the daemon's sanic app from its whole settings.
+    """Build the daemon's sanic app from its settings.
 
-    :param path: the file they came from, read again on SIGHUP.
+    :param settings: a validated :class:`Settings`.
+    :param path: the settings file, reloaded on SIGHUP.
     """
     app = Sanic('pearrund')
     app.config.WEBSOCKET_PING_INTERVAL = None
@@ -310,7 +312,7 @@
 
 
 def main(argv):
-    """Load settings and serve until stopped."""
+    """Load the settings file and serve until stopped."""
     del argv
     if not FLAGS.settings:
         raise absl_app.UsageError('--settings is required')
@@ -318,7 +320,7 @@
     try:
         settings = settings_module.load(FLAGS.settings)
     except exceptions.SettingsError as exc:
-        logger.error('bad settings', code=exc.code, error=exc.message)
+        logger.error('invalid settings', code=exc.code, error=exc.message)
         raise SystemExit(2) from exc
     logs.configure(
         'pearrund', settings.host.zone, FLAGS.log_format, FLAGS.log_level
--- a/pearrun/api/entries.py
+++ b/pearrun/api/entries.py
@@ -1,8 +1,8 @@
-"""Entries of a request journal, as they stand on the log service.
+"""Entries of a request journal, as stored on the log service.
 
-A record of a journal stream is a batch, ``{"batch": nonce,
-"entries": [entry, ...]}``; each entry is one of the data classes here,
-with its kind beside its fields.
+Each record of a journal stream is a batch, ``{"batch": nonce,
+"entries": [entry, ...]}``.  An entry is stored as the fields of one of
+the data classes below plus ``kind``, which names the class.
 """
 
 import dataclasses
@@ -16,7 +16,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Accepted:
-    """A request whose answer has been promised."""
+    """A request that has been accepted and will be answered."""
 
     id: RequestId
     customer: CustomerId
@@ -29,10 +29,10 @@
 
 @dataclasses.dataclass(frozen=True)
 class Progress:
-    """Tokens of a running request, from ``start`` on, and where it runs.
+    """Tokens of a running request from index ``start`` on.
 
-    Whoever takes the request over goes on behind them instead of
-    generating them again.
+    A daemon that takes the request over resumes after these tokens
+    instead of generating them again.  ``endpoint`` is where it ran.
     """
 
     id: RequestId
@@ -54,16 +54,19 @@
 
 @dataclasses.dataclass(frozen=True)
 class Withdrawn:
-    """A request that must never be run from this journal."""
+    """Cancels the acceptance of a request in this journal.
+
+    No daemon may run the request on account of this journal.
+    """
 
     id: RequestId
 
 
 @dataclasses.dataclass(frozen=True)
 class Sealed:
-    """The journal is closed: its writer is fenced off.
+    """Closes the journal and fences off its writer.
 
-    ``by`` is the journal stream of the host that takes its requests.
+    ``by`` is the journal stream of the host that takes the requests over.
     """
 
     by: str
@@ -71,12 +74,12 @@
 
 @dataclasses.dataclass(frozen=True)
 class Emptied:
-    """Every unfinished request now stands in the journal ``by``."""
+    """Every unfinished request has been copied to the journal ``by``."""
 
     by: str
 
 
-KINDS = {
+CLASSES_BY_KIND = {
     'accepted': Accepted,
     'progress': Progress,
     'finished': Finished,
@@ -84,18 +87,18 @@
     'sealed': Sealed,
     'emptied': Emptied,
 }
-NAMES = {kind: name for name, kind in KINDS.items()}
+KINDS_BY_CLASS = {kind: name for name, kind in CLASSES_BY_KIND.items()}
 
 
 def to_value(entry):
-    """Return an entry as a JSON-ready map."""
-    return {'kind': NAMES[type(entry)], **dataclasses.asdict(entry)}
+    """Convert an entry to a JSON-serializable dict."""
+    return {'kind': KINDS_BY_CLASS[type(entry)], **dataclasses.asdict(entry)}
 
 
 def from_value(value):
-    """Turn a map read from the log back into an entry."""
+    """Convert a dict read from the log to an entry."""
     fields = dict(value)
-    kind = KINDS[fields.pop('kind')]
+    kind = CLASSES_BY_KIND[fields.pop('kind')]
     if 'tokens' in fields:
         fields['tokens'] = tuple(fields['tokens'])
     return kind(**fields)
--- a/pearrun/api/journal.py
+++ b/pearrun/api/journal.py
@@ -1,20 +1,21 @@
-"""The acceptance journal: this host's requests on the platform log.
+"""The request journal: this host's requests on the platform log.
 
-A request is accepted only once its entry is on the log service, so
-the promise to answer it outlives this host.  Each daemon run writes a
-stream of its own, and is its only writer; every append names the
-offset it expects.  Two things follow:
+A request is durably accepted once its entry is on the log service, so
+that another host can answer it if this one fails.  Each run of a
+daemon has a stream of its own, of which it is the only writer, and
+every append states the offset that it expects.  Hence:
 
-- An append whose answer was lost is sent again at the same offset.
-  If the first one did land, the second gets a conflict and the record
-  read back says whose it is.  So an unknown outcome becomes known.
+- An append whose response was lost is sent again at the same offset.
+  If the first one had been applied, the second gets a conflict, and the
+  nonce of the record at the offset tells whose it is.  This resolves
+  appends of unknown outcome.
 - Another host can close the stream by appending a ``Sealed`` entry at
-  its head.  From then on every append of the old writer conflicts: a
-  host that was paused and wakes up cannot accept anything more.
+  its end.  Every later append by the old writer then gets a conflict,
+  so a host that was paused and resumes cannot accept any more requests.
 
-Entries that arrive while an append is under way go out together in
-the next one (group commit), since the log takes only several hundred
-appends a second.
+Entries that arrive while an append is in progress are written together
+by the next one (group commit), since the log service accepts only
+several hundred appends per second.
 """
 
 import asyncio
@@ -30,47 +31,50 @@
 from pearrun.clock import to_seconds
 
 STREAM_PREFIX = 'requests.'
-MAX_BATCH = 256
-MAX_WAITING = 10_000
+MAX_BATCH_ENTRIES = 256
+MAX_QUEUED_ENTRIES = 10_000
 RETRIES_PER_TIMEOUT = 40
 LINGER_MS = 50
-RUN_DIGITS = 8
+RUN_ID_DIGITS = 8
 
 
 @dataclasses.dataclass
 class Pending:
     """One entry waiting to be written.
 
-    ``durable`` entries are tried until they land; the others fail as
-    soon as the log refuses them or ``give_up_ms`` has passed.
+    ``durable`` entries are retried until they are committed.  Others fail
+    as soon as the log service rejects them or at ``deadline_ms``.
     """
 
     entry: object
     durable: bool
-    give_up_ms: int
-    landed: asyncio.Future
+    deadline_ms: int
+    committed: asyncio.Future
 
 
 def new_stream(host):
-    """Return a journal stream name for one run of a daemon.
+    """Return a new journal stream name for one run of a daemon.
 
     :param host: the daemon's :class:`HostSettings`.
     """
-    return f'{STREAM_PREFIX}{host.name}.{uuid.uuid4().hex[:RUN_DIGITS]}'
+    return f'{STREAM_PREFIX}{host.name}.{uuid.uuid4().hex[:RUN_ID_DIGITS]}'
 
 
 def new_request_id(stream):
-    """Return a request id that names the journal holding it."""
+    """Return a new request id that contains the name of its journal."""
     return f'{stream.removeprefix(STREAM_PREFIX)}.{uuid.uuid4().hex[:16]}'
 
 
 def get_journal_stream(request_id):
-    """Return the journal stream that first accepted a request."""
+    """Return the journal stream in which a request was first accepted."""
     return STREAM_PREFIX + request_id.rpartition('.')[0]
 
 
-def _retrieve(future):
-    """Mark a future's failure as seen, for writers who do not wait."""
+def _retrieve_exception(future):
+    """Retrieve a future's exception, so that asyncio does not log it.
+
+    Not every caller of :meth:`Journal.enqueue` awaits the future.
+    """
     if not future.cancelled():
         future.exception()
 
@@ -79,10 +83,11 @@
     """Writes this daemon's journal stream.
 
     :param log: a :class:`LogClient`.
-    :param settings: the daemon's whole :class:`Settings`.
-    :param on_sealed: called without arguments when another host has
-        sealed the stream and a new one has been opened.
-    :param pace: a :class:`Pace` to keep to, or ``None``.
+    :param settings: the daemon's complete :class:`Settings`.
+    :param on_sealed: called without arguments after another host has
+        sealed the stream and this daemon has started a new one.
+    :param pace: the :class:`Pace` that limits the append rate, or
+        ``None``.
     """
 
     def __init__(self, log, settings, on_sealed=None, pace=None):
@@ -96,90 +101,94 @@
         )
         self.stream = new_stream(settings.host)
         self.next_offset = 0
-        self.waiting = collections.deque()
+        self.queue = collections.deque()
         self.wake = asyncio.Event()
-        self.linger = None
+        self.linger_timer = None
         self.sending = []
-        self.lost = set()
-        self.open = set()
+        self.unresolved_nonces = set()
+        self.open_requests = set()
         self.appends = 0
         self.failing = False
 
     async def accept(self, entry):
-        """Record a request; only then may the caller be told.
+        """Write the acceptance of a request and wait for the commit.
+
+        The caller may be told of the acceptance only after this.
 
         :param entry: an :class:`entries.Accepted`.
         :raises JournalUnavailableError: not recorded, and never run.
-        :raises AmbiguousAppendError: it cannot be told whether the
-            record landed; a ``Withdrawn`` entry follows it, and this
-            host does not run the request.
+        :raises AmbiguousAppendError: it is unknown whether the entry was
+            recorded; a ``Withdrawn`` entry follows it, and this host
+            does not run the request.
         :raises StreamSealedError: not recorded, and never run.
         """
         await self.write(entry, durable=False)
 
     @property
     def is_full(self):
-        """Whether too much waits for the log to take on more."""
-        return len(self.waiting) >= MAX_WAITING
+        """Whether the queue of unwritten entries is full."""
+        return len(self.queue) >= MAX_QUEUED_ENTRIES
 
     async def write(self, entry, durable=True):
-        """Write one entry and wait until it is on the log."""
-        landed = self.enqueue(entry, durable)
+        """Write one entry and wait until it is committed."""
+        committed = self.enqueue(entry, durable)
         self.wake.set()
-        await landed
+        await committed
 
     def enqueue(self, entry, durable=True):
-        """Queue one entry, to go out within :data:`LINGER_MS`.
+        """Queue one entry, to be sent within :data:`LINGER_MS`.
 
-        Entries nobody waits for travel with those somebody does, so
-        that they cost no append of their own on a busy host.
+        Entries that no caller awaits are batched with those that some
+        caller does, so on a busy host they need no appends of their own.
 
-        :returns: the future of its landing.
+        :returns: a future that is done once the entry is committed.
         """
         loop = asyncio.get_running_loop()
         future = loop.create_future()
-        future.add_done_callback(_retrieve)
+        future.add_done_callback(_retrieve_exception)
         if isinstance(entry, (entries.Finished, entries.Withdrawn)):
-            self.open.discard(entry.id)
-        give_up = self.clock.now() + self.settings.platform.timeout_ms
-        self.waiting.append(Pending(entry, durable, give_up, future))
-        if self.linger is None or self.linger.when() < loop.time():
-            self.linger = loop.call_later(to_seconds(LINGER_MS), self.wake.set)
+            self.open_requests.discard(entry.id)
+        deadline_ms = self.clock.now() + self.settings.platform.timeout_ms
+        self.queue.append(Pending(entry, durable, deadline_ms, future))
+        if self.linger_timer is None or self.linger_timer.when() < loop.time():
+            self.linger_timer = loop.call_later(
+                to_seconds(LINGER_MS), self.wake.set
+            )
         return future
 
     async def run(self):
-        """Write batches for the daemon's whole life."""
+        """Write batches until cancelled."""
         while True:
             await self.wake.wait()
             self.wake.clear()
-            while self.waiting:
+            while self.queue:
                 if self.pace is not None:
                     await asyncio.sleep(to_seconds(self.pace.take()))
-                self.drop_overdue()
-                count = min(MAX_BATCH, len(self.waiting))
-                batch = [self.waiting.popleft() for _ in range(count)]
+                self.expire_overdue()
+                count = min(MAX_BATCH_ENTRIES, len(self.queue))
+                batch = [self.queue.popleft() for _ in range(count)]
                 self.sending = batch
                 if batch:
-                    await self.land(batch)
+                    await self.append_batch(batch)
                 self.sending = []
 
-    def drop_overdue(self):
-        """Refuse acceptances that waited too long to be sent at all."""
+    def expire_overdue(self):
+        """Fail queued acceptances whose deadline has passed."""
         now = self.clock.now()
-        for pending in list(self.waiting):
-            if pending.durable or now < pending.give_up_ms:
+        for pending in list(self.queue):
+            if pending.durable or now < pending.deadline_ms:
                 continue
-            self.waiting.remove(pending)
-            if not pending.landed.done():
-                pending.landed.set_exception(
+            self.queue.remove(pending)
+            if not pending.committed.done():
+                pending.committed.set_exception(
                     exceptions.JournalUnavailableError(
-                        'log service too slow; not recorded, not run',
+                        'log service too slow; request not recorded, not run',
                         retry_after_s=1,
                     )
                 )
 
-    async def land(self, batch):
-        """Append one batch, until it landed or was given up."""
+    async def append_batch(self, batch):
+        """Append one batch; retry until it is committed or has failed."""
         nonce = uuid.uuid4().hex
         value = {
             'batch': nonce,
@@ -192,9 +201,9 @@
                 await self.log.append(
                     self.stream, value, expected_offset=self.next_offset
                 )
-                return self.landed(batch)
+                return self.mark_committed(batch)
             except exceptions.ConfigConflictError:
-                if await self.settle(nonce, batch):
+                if await self.resolve_conflict(nonce, batch):
                     return None
                 continue
             except exceptions.AmbiguousAppendError as exc:
@@ -208,65 +217,73 @@
             if not ambiguous and not isinstance(
                 failure, exceptions.RateLimitedError
             ):
-                return await self.refuse(batch, failure)
-            if self.clock.now() >= min(p.give_up_ms for p in batch):
+                return await self.fail_batch(batch, failure)
+            if self.clock.now() >= min(p.deadline_ms for p in batch):
                 if ambiguous:
-                    self.lost.add(nonce)
+                    self.unresolved_nonces.add(nonce)
                     failure = exceptions.AmbiguousAppendError(
                         'the log service did not say whether the request '
                         'was recorded; this host will not run it',
                         retry_after_s=1,
                     )
-                return await self.refuse(batch, failure)
+                return await self.fail_batch(batch, failure)
             await asyncio.sleep(self.retry_s)
 
-    def landed(self, batch):
-        """Note a landed batch and wake its writers."""
+    def mark_committed(self, batch):
+        """Update the state for a committed batch and wake its writers."""
         self.failing = False
         self.next_offset += 1
         for pending in batch:
             match pending.entry:
                 case entries.Accepted(id=request_id):
-                    self.open.add(request_id)
+                    self.open_requests.add(request_id)
                 case (
                     entries.Finished(id=request_id)
                     | entries.Withdrawn(id=request_id)
                 ):
-                    self.open.discard(request_id)
-            if not pending.landed.done():
-                pending.landed.set_result(None)
+                    self.open_requests.discard(request_id)
+            if not pending.committed.done():
+                pending.committed.set_result(None)
 
-    async def refuse(self, batch, failure):
-        """Fail the batch's acceptances; keep its durable entries."""
+    async def fail_batch(self, batch, failure):
+        """Fail the acceptances of a batch and queue its other entries again.
+
+        An acceptance of unknown outcome is followed by a ``Withdrawn``
+        entry.
+        """
         self.failing = True
         kept = [p for p in batch if p.durable]
-        refused = [p for p in batch if not p.durable]
-        for pending in refused:
-            if not pending.landed.done():
-                pending.landed.set_exception(failure)
+        failed = [p for p in batch if not p.durable]
+        for pending in failed:
+            if not pending.committed.done():
+                pending.committed.set_exception(failure)
             if isinstance(failure, exceptions.AmbiguousAppendError):
                 self.enqueue(entries.Withdrawn(pending.entry.id))
         for pending in reversed(kept):
-            pending.give_up_ms += self.settings.platform.timeout_ms
-            self.waiting.appendleft(pending)
-        if self.waiting:
+            pending.deadline_ms += self.settings.platform.timeout_ms
+            self.queue.appendleft(pending)
+        if self.queue:
             await asyncio.sleep(self.retry_s)
 
-    async def settle(self, nonce, batch):
-        """Learn from the log why an append conflicted.
+    async def resolve_conflict(self, nonce, batch):
+        """Find out from the log why an append got a conflict.
 
-        :returns: true when the batch is dealt with; false when it is
-            to be appended again, at the moved ``next_offset``.
+        :param nonce: the nonce of the batch.
+        :param batch: the list of :class:`Pending` entries sent.
+        :returns: true if the batch is committed or has failed; false if
+            it has to be appended again at the current ``next_offset``.
         """
         try:
             records, _ = await self.log.read(self.stream, self.next_offset, 1)
         except exceptions.ExpiredOffsetError:
-            # Whatever stood at our offset, a seal or a batch whose
-            # answer was lost, is gone: assume the worst of both.
-            self.reopen(
+            # The record at this offset has expired.  It may have been a
+            # seal or this batch, so treat the stream as sealed and the
+            # outcome of the batch as unknown.
+            self.start_new_stream(
                 batch,
                 exceptions.AmbiguousAppendError(
-                    'journal position expired', retry_after_s=1
+                    'journal offset expired before the append was confirmed',
+                    retry_after_s=1,
                 ),
             )
             return True
@@ -278,39 +295,42 @@
             return False
         value = records[0].value
         if value['batch'] == nonce:
-            self.landed(batch)
+            self.mark_committed(batch)
             return True
-        if value['batch'] in self.lost:
-            self.lost.remove(value['batch'])
+        if value['batch'] in self.unresolved_nonces:
+            self.unresolved_nonces.remove(value['batch'])
             self.next_offset += 1
             return False
-        self.reopen(
+        self.start_new_stream(
             batch,
             exceptions.StreamSealedError(
-                "another host has taken over this host's requests; not run",
+                "another host has taken over this host's journal; not run",
                 retry_after_s=1,
             ),
         )
         return True
 
-    def reopen(self, batch, failure):
-        """Open a new stream after another host sealed this one."""
+    def start_new_stream(self, batch, failure):
+        """Start a new stream after another host has sealed this one.
+
+        Fails all unwritten entries with ``failure``.
+        """
         logger.warning('journal sealed by another host', stream=self.stream)
-        for pending in [*batch, *self.waiting]:
-            if not pending.landed.done():
-                pending.landed.set_exception(failure)
-        self.waiting.clear()
-        self.lost.clear()
-        self.open.clear()
+        for pending in [*batch, *self.queue]:
+            if not pending.committed.done():
+                pending.committed.set_exception(failure)
+        self.queue.clear()
+        self.unresolved_nonces.clear()
+        self.open_requests.clear()
         self.stream = new_stream(self.settings.host)
         self.next_offset = 0
         if self.on_sealed is not None:
             self.on_sealed()
 
     async def flush(self):
-        """Wait until every durable entry written so far has landed."""
-        durable = [p.landed for p in self.waiting if p.durable]
-        durable += [p.landed for p in self.sending if p.durable]
+        """Wait until all durable entries queued so far are committed."""
+        durable = [p.committed for p in self.queue if p.durable]
+        durable += [p.committed for p in self.sending if p.durable]
         if durable:
             self.wake.set()
             await asyncio.wait(durable)
--- a/pearrun/api/journalstate.py
+++ b/pearrun/api/journalstate.py
@@ -1,4 +1,4 @@
-"""A journal replayed: which of its requests are still owed an answer."""
+"""State of the requests in a journal, rebuilt by replaying it."""
 
 import dataclasses
 
@@ -7,11 +7,10 @@
 
 @dataclasses.dataclass
 class JournalState:
-    """What a journal stream says, up to ``next_offset``.
+    """State of a journal stream's requests before ``next_offset``.
 
-    Replaying is idempotent: a batch that stands twice on the log, or
-    an entry written again to outlive the log's retention, changes
-    nothing.
+    Replaying is idempotent: a batch that was appended twice, or an entry
+    that was written again before its retention ended, changes nothing.
     """
 
     stream: str
@@ -24,33 +23,36 @@
     emptied: bool = False
 
     def apply(self, entry):
-        """Take one entry into account."""
+        """Apply one entry."""
         match entry:
             case entries.Accepted(id=request_id):
-                closed = request_id in self.finished
-                if not closed and request_id not in self.withdrawn:
+                is_finished = request_id in self.finished
+                if not is_finished and request_id not in self.withdrawn:
                     self.unfinished[request_id] = entry
             case entries.Progress(id=request_id):
                 if request_id in self.unfinished:
                     self.add_progress(entry)
             case entries.Finished(id=request_id):
-                self.close(request_id)
+                self.remove_unfinished(request_id)
                 self.finished[request_id] = entry
             case entries.Withdrawn(id=request_id):
-                self.close(request_id)
+                self.remove_unfinished(request_id)
                 self.withdrawn.add(request_id)
             case entries.Sealed(by=by):
                 self.sealed_by = by
             case entries.Emptied(by=by):
                 self.emptied = self.emptied or by == self.sealed_by
 
-    def close(self, request_id):
-        """Note that a request is owed no longer."""
+    def remove_unfinished(self, request_id):
+        """Remove a request from the unfinished ones."""
         self.unfinished.pop(request_id, None)
         self.progress.pop(request_id, None)
 
     def add_progress(self, entry):
-        """Join an entry's tokens to those known; a gap drops it."""
+        """Append an entry's tokens to the known ones.
+
+        The entry is ignored if there is a gap between the two.
+        """
         known = self.progress.get(entry.id)
         tokens = known.tokens if known is not None else ()
         if entry.start > len(tokens):
@@ -60,22 +62,22 @@
         )
 
     def apply_record(self, record):
-        """Take one record read from the log into account."""
+        """Apply one record read from the log."""
         for value in record.value['entries']:
             self.apply(entries.from_value(value))
         self.next_offset = record.offset + 1
 
 
 async def replay_journal(log, stream):
-    """Replay a journal stream from the oldest record still held.
+    """Replay a journal stream from its oldest retained record.
 
     :param log: a :class:`LogClient`.
     :param stream: the journal stream's name.
     :returns: a :class:`JournalState`.
-    :raises JournalUnavailableError: the log service is down.
+    :raises JournalUnavailableError: the log service is unavailable.
     """
-    ledger = JournalState(stream)
-    records, ledger.next_offset = await log.read_all(stream)
+    state = JournalState(stream)
+    records, state.next_offset = await log.read_all(stream)
     for record in records:
-        ledger.apply_record(record)
-    return ledger
+        state.apply_record(record)
+    return state
--- a/pearrun/api/logservice.py
+++ b/pearrun/api/logservice.py
@@ -9,13 +9,16 @@
 from pearrun.ids import Offset
 
 RETRY_AFTER_S = 1
-READ_BATCH = 500
-UNSENT = (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError)
+READ_BATCH_RECORDS = 500
+NOT_SENT_ERRORS = (
+    aiohttp.ClientConnectorError,
+    aiohttp.ConnectionTimeoutError,
+)
 
 
 @dataclasses.dataclass(frozen=True)
 class Record:
-    """One record read back from a stream."""
+    """One record read from a stream."""
 
     offset: Offset
     at_ms: int
@@ -26,7 +29,7 @@
     """Appends to and reads from log streams over HTTP.
 
     :param session: an :class:`aiohttp.ClientSession`.
-    :param settings: :class:`PlatformSettings`.
+    :param settings: the daemon's :class:`PlatformSettings`.
     """
 
     def __init__(self, session, settings):
@@ -44,14 +47,17 @@
         """Append one record.
 
         :param stream: the stream name.
-        :param value: a JSON-ready value.
-        :param expected_offset: when given, append only if this is the
+        :param value: a JSON-serializable value.
+        :param expected_offset: if given, append only if this is the
             stream's next offset (compare-and-append).
         :returns: the record's :class:`Offset`.
-        :raises ConfigConflictError: ``expected_offset`` was stale.
-        :raises RateLimitedError: the service is over its append rate.
-        :raises AmbiguousAppendError: the outcome is unknown.
-        :raises JournalUnavailableError: the service refused or is down.
+        :raises ConfigConflictError: ``expected_offset`` is not the
+            next offset.
+        :raises RateLimitedError: the append rate limit is exceeded.
+        :raises AmbiguousAppendError: it is unknown whether the record
+            was appended.
+        :raises JournalUnavailableError: the service is unreachable or
+            rejected the request.
         """
         body = {'value': value, 'expected_offset': expected_offset}
         try:
@@ -61,15 +67,16 @@
                 data = await reply.json(content_type=None)
                 status = reply.status
                 retry = reply.headers.get('Retry-After', RETRY_AFTER_S)
-        except UNSENT as exc:
+        except NOT_SENT_ERRORS as exc:
             raise exceptions.JournalUnavailableError(
                 f'log service unreachable: {exc!r}',
                 retry_after_s=RETRY_AFTER_S,
             ) from exc
         except (aiohttp.ClientError, OSError, ValueError) as exc:
-            # Anything after the connection stood may have been applied.
+            # The connection was established, so the service may have
+            # applied the append.
             raise exceptions.AmbiguousAppendError(
-                f'append to {stream} lost its answer: {exc!r}',
+                f'response to the append to {stream} lost: {exc!r}',
                 retry_after_s=RETRY_AFTER_S,
             ) from exc
         match status:
@@ -77,16 +84,16 @@
                 return Offset(int(data['offset']))
             case 409:
                 raise exceptions.ConfigConflictError(
-                    f'{stream} moved on to offset {data["next_offset"]}'
+                    f'{stream}: next offset is {data["next_offset"]}'
                 )
             case 429:
                 raise exceptions.RateLimitedError(
-                    'log service over its append rate',
+                    'append rate limit of the log service exceeded',
                     retry_after_s=int(retry),
                 )
             case 504:
                 raise exceptions.AmbiguousAppendError(
-                    f'append to {stream} lost its answer',
+                    f'append to {stream} timed out (status 504)',
                     retry_after_s=RETRY_AFTER_S,
                 )
         raise exceptions.JournalUnavailableError(
@@ -108,7 +115,7 @@
     async def bounds(self, stream):
         """Return a stream's ``(first_offset, next_offset)``.
 
-        :raises JournalUnavailableError: the service is down.
+        :raises JournalUnavailableError: the service is unavailable.
         """
         status, data = await self._get(f'{self.base}/v1/streams/{stream}')
         if status != 200:
@@ -118,36 +125,38 @@
         return Offset(data['first_offset']), Offset(data['next_offset'])
 
     async def read_all(self, stream, start=0):
-        """Read every record from ``start``, or from the oldest held.
+        """Read all records from ``start`` or the oldest retained one on.
 
         :returns: ``(records, next_offset)``.
-        :raises JournalUnavailableError: the service is down.
+        :raises JournalUnavailableError: the service is unavailable.
         """
-        found = []
+        result = []
         while True:
             try:
-                records, start = await self.read(stream, start, READ_BATCH)
+                records, start = await self.read(
+                    stream, start, READ_BATCH_RECORDS
+                )
             except exceptions.ExpiredOffsetError as exc:
                 start = exc.first_offset
                 continue
-            found.extend(records)
-            if len(records) < READ_BATCH:
-                return found, start
+            result.extend(records)
+            if len(records) < READ_BATCH_RECORDS:
+                return result, start
 
     async def read(self, stream, start, limit=100):
         """Read records from ``start`` on.
 
         :returns: ``(records, next_offset)``; ``records`` is a list of
             :class:`Record`.
-        :raises ExpiredOffsetError: ``start`` is out of retention.
-        :raises JournalUnavailableError: the service is down.
+        :raises ExpiredOffsetError: the record at ``start`` has expired.
+        :raises JournalUnavailableError: the service is unavailable.
         """
         params = {'from': str(start), 'limit': str(limit)}
         status, data = await self._get(self._url(stream), params)
         if status == 410:
             first = int(data.get('first_offset', 0))
             raise exceptions.ExpiredOffsetError(
-                f'{stream}: offset {start} expired; first is {first}',
+                f'{stream}: offset {start} expired; first offset is {first}',
                 first_offset=first,
             )
         if status != 200:
--- a/pearrun/api/lookup.py
+++ b/pearrun/api/lookup.py
@@ -1,9 +1,9 @@
-"""Finding a request by id, whichever host holds it now.
+"""Lookup of a request by id, whichever host holds it.
 
-A request id names the journal that accepted it.  Its answer is, in
-this order: in this daemon's memory; with the daemon that writes the
-journal, if it is alive; or on the log, following the journals that
-took it over.
+A request id contains the name of the journal that accepted the request.
+The request is looked up in this order: in this daemon's memory; at the
+daemon that writes the journal, if it is alive; on the log, in the
+journal and in those that took its requests over.
 """
 
 import asyncio
@@ -23,7 +23,7 @@
 from pearrun.api.structures import Job
 from pearrun.backoff import Backoff
 
-MAX_CHAIN = 16
+MAX_TAKEOVERS = 16
 FOLLOW_TIMEOUT_S = 60
 REMOTE_TIMEOUT = aiohttp.ClientTimeout(total=None, sock_connect=1)
 
@@ -37,7 +37,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Remote:
-    """The request is with another daemon, thought to be alive."""
+    """The request is held by another daemon, which counts as alive."""
 
     member: Member
 
@@ -72,14 +72,15 @@
         self.follower_count = 0
 
     async def locate(self, request_id, skip=()):
-        """Find where a request is.
+        """Find out who holds a request.
 
-        :param request_id: the id from the acceptance.
-        :param skip: journal streams whose daemons did not answer.
+        :param request_id: the id returned when it was accepted.
+        :param skip: journal streams whose daemons do not answer.
         :returns: :class:`Local`, :class:`Remote` or :class:`Stored`.
         :raises UnknownRequestError: no such request (code 1300).
-        :raises RequestMovingError: its host died; not yet taken over.
-        :raises JournalUnavailableError: the log service is down.
+        :raises RequestMovingError: its host does not answer, and the
+            request has not been taken over completely.
+        :raises JournalUnavailableError: the log service is unavailable.
         """
         job = self.dispatcher.find(request_id)
         if job is not None:
@@ -88,46 +89,48 @@
         if stream == STREAM_PREFIX:
             raise exceptions.UnknownRequestError(f'no request {request_id!r}')
         moving = False
-        for _ in range(MAX_CHAIN):
+        for _ in range(MAX_TAKEOVERS):
             member = await self.find_member(stream)
             alive = member is not None and not self.membership.is_dead(member)
             if alive and stream != self.journal.stream and stream not in skip:
                 return Remote(member)
-            ledger = await replay_journal(self.log, stream)
-            if request_id in ledger.finished:
-                return Stored(ledger.finished[request_id])
-            known = request_id in ledger.unfinished
-            may_come = moving or self._may_still_write(member, ledger)
-            if not known and not may_come:
+            state = await replay_journal(self.log, stream)
+            if request_id in state.finished:
+                return Stored(state.finished[request_id])
+            known = request_id in state.unfinished
+            may_appear = moving or self._may_still_write(member, state)
+            if not known and not may_appear:
                 break
-            if not known or ledger.sealed_by in (None, stream):
+            if not known or state.sealed_by in (None, stream):
                 raise exceptions.RequestMovingError(
-                    'its host is out of reach or being taken over; ask again',
+                    'host unreachable or being taken over; try again',
                     retry_after_s=1,
                 )
-            # Until a sealed journal is emptied, its successor may not hold
-            # all of its requests yet.
-            moving = not ledger.emptied
-            stream = ledger.sealed_by
+            # Until the sealed journal has its Emptied entry, the journal
+            # that takes it over may lack some of its requests.
+            moving = not state.emptied
+            stream = state.sealed_by
         raise exceptions.UnknownRequestError(f'no request {request_id!r}')
 
-    def _may_still_write(self, member, ledger):
-        """Say whether a host out of reach may hold requests unwritten.
+    def _may_still_write(self, member, state):
+        """Return whether an unreachable host may still journal requests.
 
-        A host that is cut off serves callers who wait and writes of them
-        once the log is back: until its journal is sealed, it may.
+        A host without a connection to the log serves waiting callers
+        and journals their requests once it is connected again.  It can
+        do so until its journal is sealed.
         """
         return (
             member is not None
-            and ledger.sealed_by is None
-            and ledger.stream != self.journal.stream
+            and state.sealed_by is None
+            and state.stream != self.journal.stream
         )
 
     async def find_member(self, stream):
-        """Return a journal's writer, or ``None``.
+        """Return the daemon that writes a journal, or ``None``.
 
-        A writer not heard of may have begun to beat since the last
-        look at the log, as when this daemon has just started.
+        If it is unknown, the members are read from the log first: it
+        may have sent its first heartbeat since the last poll, or this
+        daemon may have just started.
         """
         if self.membership.find(stream) is None:
             with contextlib.suppress(exceptions.JournalUnavailableError):
@@ -137,7 +140,11 @@
     async def fetch(self, member, request_id, method='GET', action=''):
         """Ask another daemon about a request it holds.
 
-        :returns: ``(status, body)``; ``None`` when it does not answer.
+        :param member: the other daemon's :class:`Member`.
+        :param request_id: the request's id.
+        :param method: the HTTP method.
+        :param action: a path suffix, such as ``/cancel``.
+        :returns: ``(status, body)``; ``None`` if it does not answer.
         """
         url = f'{member.url}/v1/requests/{request_id}{action}'
         try:
@@ -152,46 +159,49 @@
             return None
 
     async def follow(self, request_id, start=0):
-        """Follow a request's tokens to its end, wherever it goes.
-
-        When the host serving it dies in the middle, the answer is
-        picked up at the next one, from the token after the last.
-
-        :param start: index of the first token wanted.
-        :returns: an async iterator of ``(index, token)`` and, last,
-            ``(None, final)`` with the final state's JSON-ready map.
-        :raises PearrunError: it could not be found for a minute.
+        """Follow a request's tokens to its end, on any host.
+
+        If the host that runs it fails, the tokens are read from the
+        next host, without gaps or repetitions.
+
+        :param request_id: the request's id.
+        :param start: index of the first token to return.
+        :returns: an async iterator of ``(index, token)`` pairs that ends
+            with ``(None, final)``, ``final`` being the final event as a
+            JSON-serializable dict.
+        :raises PearrunError: the request could not be located for
+            :data:`FOLLOW_TIMEOUT_S`, or does not exist.
         """
         self.follower_count += 1
         try:
             async with contextlib.aclosing(
-                self.follow_on(request_id, start)
+                self.follow_across_hosts(request_id, start)
             ) as tokens:
                 async for index, token in tokens:
                     yield index, token
         finally:
             self.follower_count -= 1
 
-    async def follow_on(self, request_id, start):
-        """Follow a request from host to host; see :meth:`follow`."""
+    async def follow_across_hosts(self, request_id, start):
+        """Follow a request across hosts; see :meth:`follow`."""
         backoff = Backoff(base_ms=100)
         skip = set()
         loop = asyncio.get_running_loop()
         deadline = loop.time() + FOLLOW_TIMEOUT_S
         while True:
             try:
-                found = await self.locate(request_id, skip)
+                location = await self.locate(request_id, skip)
                 deadline = loop.time() + FOLLOW_TIMEOUT_S
                 async with contextlib.aclosing(
-                    self.read(found, request_id, start)
+                    self.read(location, request_id, start)
                 ) as tokens:
                     async for index, token in tokens:
                         yield index, token
                         if index is None:
                             return
                         start = index + 1
-                if isinstance(found, Remote):
-                    skip.add(found.member.stream)
+                if isinstance(location, Remote):
+                    skip.add(location.member.stream)
             except (
                 exceptions.RequestMovingError,
                 exceptions.JournalUnavailableError,
@@ -201,9 +211,9 @@
                 skip.clear()
             await backoff.pause()
 
-    def read(self, found, request_id, start):
-        """Return the token iterator of a located request."""
-        match found:
+    def read(self, location, request_id, start):
+        """Return an iterator over the tokens of a located request."""
+        match location:
             case Local(job=job):
                 return read_job(job, start)
             case Stored(finished=finished):
@@ -214,9 +224,9 @@
     async def read_remote(self, member, request_id, start):
         """Read a request's tokens from another daemon.
 
-        Ends without a final state when that daemon fails or nothing
-        comes for ``stall_ms``; asking again costs little, and the
-        connection may have fallen silent for good.
+        Ends without a final event if that daemon fails or sends nothing
+        for ``stall_ms``: the connection may be dead without having been
+        closed, and the cost of another request is small.
         """
         params = {'local': 'true', 'stream': 'true', 'from': str(start)}
         try:
@@ -242,15 +252,18 @@
 
 
 def parse_event(raw):
-    """Parse one line of a server-sent event stream; ``None`` if no data."""
+    """Parse one line of a server-sent event stream.
+
+    :returns: the event's data; ``None`` if the line has none.
+    """
     line = raw.decode('utf-8').strip()
     if not line.startswith('data: ') or line == 'data: [DONE]':
         return None
     return orjson.loads(line.removeprefix('data: '))
 
 
-def describe_final(request_id, state, finish_reason, error):
-    """Return the final event of a stream, JSON-ready."""
+def build_final_event(request_id, state, finish_reason, error):
+    """Return the final event of a stream, JSON-serializable."""
     return {
         'id': request_id,
         'state': state,
@@ -260,9 +273,9 @@
 
 
 async def read_job(job, start):
-    """Iterate over a local job's tokens and final state.
+    """Iterate over a local job's tokens and its final event.
 
-    Ends without a final state when another host goes on with it.
+    Ends without a final event if the job is handed over to another host.
     """
     sent = start
     job.readers += 1
@@ -281,17 +294,17 @@
     error = job.failure.to_body() if job.failure else None
     yield (
         None,
-        describe_final(job.id, job.state.value, job.finish_reason, error),
+        build_final_event(job.id, job.state.value, job.finish_reason, error),
     )
 
 
 async def read_stored(finished, start):
-    """Iterate over a stored answer's tokens and final state."""
+    """Iterate over a stored answer's tokens and its final event."""
     for index in range(start, len(finished.tokens)):
         yield index, finished.tokens[index]
     yield (
         None,
-        describe_final(
+        build_final_event(
             finished.id,
             finished.state,
             finished.finish_reason,
--- a/pearrun/api/models.py
+++ b/pearrun/api/models.py
@@ -1,10 +1,10 @@
-"""Bodies of callers' requests, checked with pydantic."""
+"""Models of the request bodies that callers send."""
 
 import pydantic
 
 
 class CompletionBody(pydantic.BaseModel):
-    """``POST /v1/completions``, OpenAI-style.
+    """Body of ``POST /v1/completions``, OpenAI-style.
 
     ``model`` names the service; ``user`` names the customer.
     """
@@ -27,7 +27,7 @@
 
 
 class ChatBody(pydantic.BaseModel):
-    """``POST /v1/chat/completions``, OpenAI-style."""
+    """Body of ``POST /v1/chat/completions``, OpenAI-style."""
 
     model_config = pydantic.ConfigDict(extra='ignore')
 
@@ -39,7 +39,7 @@
     user: str | None = None
 
     def to_completion(self):
-        """Flatten the chat into a :class:`CompletionBody`."""
+        """Convert the chat to a :class:`CompletionBody` with one prompt."""
         prompt = '\n'.join(f'{m.role}: {m.content}' for m in self.messages)
         return CompletionBody(
             model=self.model,
--- a/pearrun/api/progress.py
+++ b/pearrun/api/progress.py
@@ -1,4 +1,4 @@
-"""Keeping the journal up to date about running jobs."""
+"""Journal entries of running jobs and periodic saving of progress."""
 
 import asyncio
 
@@ -8,7 +8,7 @@
 
 
 def build_accepted_entry(job):
-    """Return a job's acceptance as a journal entry."""
+    """Return the journal entry for a job's acceptance."""
     return entries.Accepted(
         id=job.id,
         customer=job.customer,
@@ -21,7 +21,7 @@
 
 
 def build_finished_entry(job):
-    """Return a job's final state as a journal entry."""
+    """Return the journal entry for a job's final state."""
     return entries.Finished(
         id=job.id,
         state=job.state.value,
@@ -32,9 +32,9 @@
 
 
 class ProgressSaver:
-    """Saves running jobs' progress.
+    """Writes the progress of running jobs to the journal.
 
-    :param settings: the daemon's whole :class:`Settings`.
+    :param settings: the daemon's complete :class:`Settings`.
     :param journal: the daemon's :class:`Journal`.
     """
 
@@ -44,14 +44,15 @@
         self.clock = Clock()
 
     def record_accepted(self, job):
-        """Note that a job's acceptance has just been journaled."""
+        """Record that a job's acceptance has just been journaled."""
         job.saved_ms = self.clock.now()
 
     def save(self, job):
-        """Bring the journal up to date about a running job.
+        """Write what is new about a running job to the journal.
 
-        Its acceptance is written again before the log's retention
-        drops it, and the tokens it got since the last time are added.
+        The acceptance is written again before the log's retention drops
+        it; the tokens generated since the last save are added.  Nothing
+        is written while the previous save is still under way.
         """
         if job.saving is not None and not job.saving.done():
             return
@@ -73,9 +74,9 @@
             job.saved = len(job.tokens)
 
     async def save_periodically(self, list_jobs):
-        """Save jobs again and again, for the daemon's whole life.
+        """Save the running jobs at regular intervals, until cancelled.
 
-        :param list_jobs: returns the jobs that are running.
+        :param list_jobs: a callable that returns the running jobs.
         """
         pause_ms = min(
             self.settings.host.progress_ms,
--- a/pearrun/api/recovery.py
+++ b/pearrun/api/recovery.py
@@ -1,20 +1,21 @@
-"""Recovery: taking over the requests of a host that died.
-
-For each member taken for dead, one live daemon (the favourite of a
-rendezvous hash; the next ones step in if it does not act) takes its
-journal over in four steps, each fenced by compare-and-append on the
-dead host's stream:
-
-1. replay the stream;
-2. append ``Sealed`` at its head, so that the old writer can write no
-   more;
-3. write every unfinished request into its own journal;
-4. append ``Emptied`` right behind the seal, and only then run them.
-
-A daemon that dies between 2 and 4 leaves a sealed stream that is not
-emptied, and the next one seals it again.  One that is paused there
-and wakes up finds the place behind its seal taken: it withdraws what
-it wrote in step 3 and runs nothing.
+"""Recovery: failover of the requests of a dead host.
+
+For each member that counts as dead, one live daemon takes its journal
+over.  The daemon is chosen by rendezvous hashing; if it does not act,
+the next ones in the order do.  A takeover has four steps, of which 2
+and 4 are compare-and-appends to the dead host's stream:
+
+1. Replay the stream.
+2. Append ``Sealed`` at its end, so that the old writer can append
+   nothing more.
+3. Copy every unfinished request to the daemon's own journal.
+4. Append ``Emptied`` directly after the seal, and only then run the
+   requests.
+
+A daemon that dies between steps 2 and 4 leaves a stream that is sealed
+but not emptied, and the next daemon seals it again.  If the first one
+was only paused and resumes, the offset after its seal is taken, so step
+4 fails: it withdraws what it wrote in step 3 and runs nothing.
 """
 
 import asyncio
@@ -28,19 +29,19 @@
 from pearrun.api.router import rendezvous_score
 from pearrun.clock import to_seconds
 
-MAX_TRIES = 5
+MAX_APPEND_ATTEMPTS = 5
 
 
 class Recovery:
-    """Watches the membership and adopts dead hosts' requests.
+    """Watches the membership and takes dead hosts' requests over.
 
     :param log: a :class:`LogClient`.
-    :param settings: the daemon's whole :class:`Settings`.
-    :param membership: a :class:`Membership`.
+    :param settings: the daemon's complete :class:`Settings`.
+    :param membership: this daemon's :class:`Membership`.
     :param journal: this daemon's :class:`Journal`.
-    :param adopt: called with each :class:`entries.Accepted` taken
-        over, once it may run, and its :class:`entries.Progress` or
-        ``None``.
+    :param adopt: called for each request taken over, once it may run,
+        with its :class:`entries.Accepted` and its
+        :class:`entries.Progress` or ``None``.
     """
 
     def __init__(self, log, settings, membership, journal, adopt):
@@ -52,7 +53,11 @@
         self.adopted = 0
 
     def rank(self, stream):
-        """Return this daemon's place among those to take a stream over."""
+        """Return this daemon's rank among the takeover candidates.
+
+        :param stream: the journal stream of the dead host.
+        :returns: the rank; 0 is the first candidate.
+        """
         own = self.journal.stream
         scores = {
             m.stream: rendezvous_score(m.stream, stream)
@@ -64,7 +69,11 @@
         )
 
     def is_due(self, member):
-        """Say whether it is this daemon's turn to take a member over."""
+        """Return whether this daemon has to take a member's journal over.
+
+        The daemon of rank n acts n missed heartbeats after the member
+        has come to count as dead.
+        """
         if member.stream == self.journal.stream:
             return False
         if not self.membership.is_dead(member):
@@ -75,7 +84,7 @@
         return member.missed >= wait
 
     async def watch(self):
-        """Follow the members and recover, for the daemon's whole life."""
+        """Poll the members and take over dead hosts, until cancelled."""
         pause = to_seconds(self.settings.host.members_poll_ms)
         while True:
             try:
@@ -84,21 +93,24 @@
                     if self.is_due(member):
                         await self.take_over(member.stream)
             except exceptions.PearrunError as exc:
-                logger.debug('recovery waits', error=exc.message)
+                logger.debug(
+                    'recovery failed; will be retried', error=exc.message
+                )
             await asyncio.sleep(pause)
 
     async def append_at(self, stream, entry, offset):
-        """Append one entry at an offset; say whether it is ours.
+        """Append one entry at a given offset.
 
-        A lost answer is settled by reading the offset back.
+        An append of unknown outcome is repeated; if that one conflicts,
+        the record at the offset is read back.
 
-        :returns: true when the entry stands at ``offset``, false when
-            something else does.
-        :raises JournalUnavailableError: the log service is down.
+        :returns: true if the entry is at ``offset``, false if another
+            record is.
+        :raises JournalUnavailableError: the log service is unavailable.
         """
         nonce = uuid.uuid4().hex
         value = {'batch': nonce, 'entries': [entries.to_value(entry)]}
-        for _ in range(MAX_TRIES):
+        for _ in range(MAX_APPEND_ATTEMPTS):
             try:
                 await self.log.append(stream, value, expected_offset=offset)
                 return True
@@ -107,56 +119,61 @@
                 return bool(records) and records[0].value['batch'] == nonce
             except exceptions.AmbiguousAppendError:
                 continue
-        raise exceptions.JournalUnavailableError('append not settled')
+        raise exceptions.JournalUnavailableError('append outcome unknown')
 
     async def seal(self, stream):
         """Seal a stream for this daemon.
 
-        :returns: the :class:`JournalState` as sealed, or ``None`` when
-            another live daemon holds it or nothing is left to do.
+        :param stream: the journal stream of the dead host.
+        :returns: the :class:`JournalState` at the seal, or ``None`` if
+            another live daemon has sealed the stream, it is already
+            emptied, or too many appends conflicted.
         """
         own = self.journal.stream
-        for _ in range(MAX_TRIES):
-            ledger = await replay_journal(self.log, stream)
-            if ledger.emptied:
+        for _ in range(MAX_APPEND_ATTEMPTS):
+            state = await replay_journal(self.log, stream)
+            if state.emptied:
                 self.membership.forget(stream)
                 return None
-            holder = self.membership.find(ledger.sealed_by)
+            holder = self.membership.find(state.sealed_by)
             held = holder is not None and not self.membership.is_dead(holder)
-            if held and ledger.sealed_by != own:
+            if held and state.sealed_by != own:
                 return None
             entry = entries.Sealed(by=own)
-            if await self.append_at(stream, entry, ledger.next_offset):
-                ledger.next_offset += 1
-                return ledger
+            if await self.append_at(stream, entry, state.next_offset):
+                state.next_offset += 1
+                return state
         return None
 
     async def take_over(self, stream):
-        """Adopt the unfinished requests of a dead host's journal.
+        """Take over the unfinished requests of a dead host's journal.
 
-        :returns: how many requests were adopted.
-        :raises JournalUnavailableError: the log service is down; the
-            next poll tries again.
+        :param stream: the journal stream of the dead host.
+        :returns: the number of requests taken over.
+        :raises JournalUnavailableError: the log service is unavailable;
+            the next poll retries.
         """
         own = self.journal.stream
-        ledger = await self.seal(stream)
-        if ledger is None:
+        state = await self.seal(stream)
+        if state is None:
             return 0
-        owed = list(ledger.unfinished.values())
-        writes = [self.journal.enqueue(entry) for entry in owed]
+        unfinished = list(state.unfinished.values())
+        writes = [self.journal.enqueue(entry) for entry in unfinished]
         writes += [
-            self.journal.enqueue(entry) for entry in ledger.progress.values()
+            self.journal.enqueue(entry) for entry in state.progress.values()
         ]
         self.journal.wake.set()
         await asyncio.gather(*writes)
         entry = entries.Emptied(by=own)
-        if not await self.append_at(stream, entry, ledger.next_offset):
-            for lost in owed:
-                self.journal.enqueue(entries.Withdrawn(lost.id))
+        if not await self.append_at(stream, entry, state.next_offset):
+            for accepted in unfinished:
+                self.journal.enqueue(entries.Withdrawn(accepted.id))
             return 0
-        for request in owed:
-            self.adopt(request, ledger.progress.get(request.id))
-        self.adopted += len(owed)
+        for request in unfinished:
+            self.adopt(request, state.progress.get(request.id))
+        self.adopted += len(unfinished)
         self.membership.forget(stream)
-        logger.info('took over a journal', stream=stream, requests=len(owed))
-        return len(owed)
+        logger.info(
+            'journal taken over', stream=stream, requests=len(unfinished)
+        )
+        return len(unfinished)
--- a/pearrun/api/routes.py
+++ b/pearrun/api/routes.py
@@ -1,20 +1,21 @@
-"""Intake: the HTTP routes callers and operators use.
+"""HTTP routes for callers and operators.
 
 Callers:
 
 - ``POST /v1/completions`` and ``POST /v1/chat/completions``
-  (OpenAI-style; ``"stream": true`` answers as server-sent events).
-  ``Idempotency-Key`` makes a retry return the first answer.
-  ``Prefer: respond-async`` answers ``202`` once the request is
-  journaled; fetch the answer later by id.
+  (OpenAI-style; with ``"stream": true`` the answer is sent as
+  server-sent events).  A retry with the same ``Idempotency-Key``
+  returns the first answer.  With ``Prefer: respond-async`` the
+  response is ``202``, sent once the request is journaled; the answer
+  can be fetched later by id.
 - ``GET /v1/requests/{id}``: status and answer so far, on any entry
-  host; ``?stream=true&from=N`` resumes the stream at token ``N``, and
-  ``?wait=true`` answers when the request has ended.
+  host.  ``?stream=true&from=N`` resumes the stream at token ``N``;
+  ``?wait=true`` delays the response until the request has ended.
 - ``POST /v1/requests/{id}/cancel``.
 
-Every answer carries the request's id in ``X-Request-Id``, and in
-``X-Pearrun-Durable`` whether it is on the platform's log, so that it
-survives the loss of this host.
+Completions and resumed streams carry the request's id in
+``X-Request-Id``.  ``X-Pearrun-Durable`` says whether the request is on
+the platform's log and therefore survives the loss of this host.
 
 Operators: ``GET /healthz``, ``GET /v1/status``, ``GET /v1/metrics``,
 ``POST /admin/drain`` ``{endpoint}``; peers: websocket ``/peer``.
@@ -31,14 +32,14 @@
 from pearrun.api import models
 from pearrun.api import web
 
-REQUEST_ID = 'X-Request-Id'
-DURABLE = 'X-Pearrun-Durable'
+REQUEST_ID_HEADER = 'X-Request-Id'
+DURABLE_HEADER = 'X-Pearrun-Durable'
 
 
 def parse_body(request, model):
-    """Check a JSON body against a pydantic model.
+    """Parse a JSON body and validate it with a pydantic model.
 
-    :raises BadRequestError: not JSON or not the right shape (1200).
+    :raises BadRequestError: not JSON, or invalid for ``model`` (1200).
     """
     try:
         data = orjson.loads(request.body or b'')
@@ -50,12 +51,12 @@
             where = '.'.join(str(p) for p in first['loc'])
             detail = f'{where}: {first["msg"]}'
         raise exceptions.BadRequestError(
-            f'bad request body: {detail}'
+            f'invalid request body: {detail}'
         ) from exc
 
 
-def completion_body(job, tokens, finish_reason, chat):
-    """Return a whole answer in the OpenAI shape."""
+def build_completion(job, tokens, finish_reason, chat):
+    """Return a complete answer in the OpenAI format."""
     text = ' '.join(tokens)
     choice = {'index': 0, 'finish_reason': finish_reason}
     if chat:
@@ -71,8 +72,8 @@
     }
 
 
-def chunk_body(job_id, service, index, token, chat):
-    """Return one streamed token in the OpenAI chunk shape."""
+def build_chunk(job_id, service, index, token, chat):
+    """Return one streamed token in the OpenAI chunk format."""
     piece = token if index == 0 else ' ' + token
     if chat:
         choice = {'index': 0, 'delta': {'content': piece}}
@@ -93,15 +94,17 @@
 ):
     """Stream tokens to a caller as server-sent events.
 
-    :param tokens: an async iterator of ``(index, token)``, then
-        ``(None, final)``.
+    :param tokens: an async iterator of ``(index, token)`` pairs that
+        ends with ``(None, final)``, ``final`` being the final event.
+    :param chat: whether to send chunks of a chat completion.
+    :param durable: whether the request is on the platform's log.
     """
     stream = await request.respond(
         content_type='text/event-stream',
         headers={
             'Cache-Control': 'no-cache',
-            REQUEST_ID: job_id,
-            DURABLE: str(durable).lower(),
+            REQUEST_ID_HEADER: job_id,
+            DURABLE_HEADER: str(durable).lower(),
         },
     )
     async with contextlib.aclosing(tokens):
@@ -109,26 +112,29 @@
             if index is None:
                 body = token
             else:
-                body = chunk_body(job_id, service, index, token, chat)
+                body = build_chunk(job_id, service, index, token, chat)
             await stream.send(b'data: %b\n\n' % orjson.dumps(body))
     await stream.send('data: [DONE]\n\n')
     await stream.eof()
 
 
-def wants_promise(request):
-    """Say whether a caller wants ``202 accepted`` before the answer."""
+def prefers_async(request):
+    """Return whether the caller asks for ``202`` before the answer."""
     return 'respond-async' in request.headers.get('Prefer', '')
 
 
-async def answer(daemon, request, job, stream, chat):
-    """Answer a caller: streamed, whole, or 202 for async."""
+async def respond(daemon, request, job, stream, chat):
+    """Respond with the answer as a stream, in one body, or with 202."""
     if stream:
         tokens = daemon.lookup.follow(job.id)
         return await send_events(
             request, job.id, job.service, tokens, chat, job.durable
         )
-    headers = {REQUEST_ID: job.id, DURABLE: str(job.durable).lower()}
-    if wants_promise(request):
+    headers = {
+        REQUEST_ID_HEADER: job.id,
+        DURABLE_HEADER: str(job.durable).lower(),
+    }
+    if prefers_async(request):
         return response.json(job.to_body(), status=202, headers=headers)
     tokens = []
     final = None
@@ -139,15 +145,15 @@
             tokens.append(token)
     if final['error'] is not None:
         failure = exceptions.from_body(final['error'])
-        return web.error_response(failure, headers)
-    body = completion_body(job, tokens, final['finish_reason'], chat)
+        return web.build_error_response(failure, headers)
+    body = build_completion(job, tokens, final['finish_reason'], chat)
     return response.json(body, headers=headers)
 
 
 def parse_start(request):
     """Return the ``from`` argument of a resumed stream.
 
-    :raises BadRequestError: it is not a whole number from 0 up.
+    :raises BadRequestError: it is not a non-negative integer.
     """
     raw = request.args.get('from', '0')
     if not raw.isdecimal():
@@ -155,8 +161,8 @@
     return int(raw)
 
 
-def stored_body(finished):
-    """Return a stored answer in the shape of a job's status."""
+def build_stored_status(finished):
+    """Return a stored answer in the format of a job's status."""
     return {
         'id': finished.id,
         'state': finished.state,
@@ -167,8 +173,10 @@
     }
 
 
-async def check_known(daemon, request_id):
-    """Refuse an unknown id; one whose host is changing is waited for.
+async def check_request_exists(daemon, request_id):
+    """Check that a request id exists.
+
+    A request that is being taken over counts as existing.
 
     :raises UnknownRequestError: no request has this id.
     """
@@ -176,19 +184,21 @@
         await daemon.lookup.locate(request_id)
 
 
-async def request_status(daemon, request, request_id):
-    """Answer a caller about a request, wherever it is held."""
+async def respond_status(daemon, request, request_id):
+    """Respond with a request's status, whichever host holds it."""
     local = request.args.get('local') == 'true'
     if local and daemon.dispatcher.find(request_id) is None:
-        raise exceptions.UnknownRequestError(f'{request_id!r} is not here')
+        raise exceptions.UnknownRequestError(
+            f'request {request_id!r} is not held by this host'
+        )
     skip = set()
     if request.args.get('stream') == 'true':
         start = parse_start(request)
-        await check_known(daemon, request_id)
+        await check_request_exists(daemon, request_id)
         tokens = daemon.lookup.follow(request_id, start)
         return await send_events(request, request_id, None, tokens)
     if request.args.get('wait') == 'true':
-        await check_known(daemon, request_id)
+        await check_request_exists(daemon, request_id)
         async for _ in daemon.lookup.follow(request_id):
             pass
     while True:
@@ -196,61 +206,63 @@
             case lookup.Local(job=job):
                 return response.json(job.to_body())
             case lookup.Stored(finished=finished):
-                return response.json(stored_body(finished))
+                return response.json(build_stored_status(finished))
             case lookup.Remote(member=member):
-                found = await daemon.lookup.fetch(member, request_id)
-                if found is not None and found[0] == 200:
-                    return response.json(found[1])
+                reply = await daemon.lookup.fetch(member, request_id)
+                if reply is not None and reply[0] == 200:
+                    return response.json(reply[1])
                 skip.add(member.stream)
 
 
 async def cancel_request(daemon, request, request_id):
-    """Cancel a request, wherever it is held."""
+    """Cancel a request, whichever host holds it."""
     job = daemon.dispatcher.find(request_id)
     if job is not None:
         return response.json((await daemon.dispatcher.cancel(job)).to_body())
     if request.args.get('local') == 'true':
-        raise exceptions.UnknownRequestError(f'{request_id!r} is not here')
+        raise exceptions.UnknownRequestError(
+            f'request {request_id!r} is not held by this host'
+        )
     match await daemon.lookup.locate(request_id):
         case lookup.Stored(finished=finished):
-            return response.json(stored_body(finished))
+            return response.json(build_stored_status(finished))
         case lookup.Remote(member=member):
-            found = await daemon.lookup.fetch(
+            reply = await daemon.lookup.fetch(
                 member, request_id, 'POST', '/cancel'
             )
-            if found is not None:
-                return response.json(found[1], status=found[0])
+            if reply is not None:
+                return response.json(reply[1], status=reply[0])
     raise exceptions.RequestMovingError(
-        'the host of this request does not answer; ask again',
+        'the host of this request does not answer; try again',
         retry_after_s=1,
     )
 
 
 def install_routes(app, daemon):
-    """Add the intake routes to a sanic app.
+    """Add the routes to a sanic app.
 
     :param app: the :class:`sanic.Sanic` app.
-    :param daemon: the :class:`Daemon` that owns the parts.
+    :param daemon: the :class:`Daemon` that handles the requests.
     """
 
     @app.post('/v1/completions')
     async def completions(request):
         body = parse_body(request, models.CompletionBody)
         key = request.headers.get('Idempotency-Key')
-        job = await daemon.dispatcher.submit(body, key, wants_promise(request))
-        return await answer(daemon, request, job, body.stream, chat=False)
+        job = await daemon.dispatcher.submit(body, key, prefers_async(request))
+        return await respond(daemon, request, job, body.stream, chat=False)
 
     @app.post('/v1/chat/completions')
     async def chat_completions(request):
         chat = parse_body(request, models.ChatBody)
         body = chat.to_completion()
         key = request.headers.get('Idempotency-Key')
-        job = await daemon.dispatcher.submit(body, key, wants_promise(request))
-        return await answer(daemon, request, job, body.stream, chat=True)
+        job = await daemon.dispatcher.submit(body, key, prefers_async(request))
+        return await respond(daemon, request, job, body.stream, chat=True)
 
     @app.get('/v1/requests/<request_id>')
-    async def status_of(request, request_id):
-        return await request_status(daemon, request, request_id)
+    async def get_request(request, request_id):
+        return await respond_status(daemon, request, request_id)
 
     @app.post('/v1/requests/<request_id>/cancel')
     async def cancel(request, request_id):
@@ -266,7 +278,7 @@
 
     @app.get('/v1/status')
     async def status(request):
-        return response.json(daemon.status())
+        return response.json(daemon.describe_status())
 
     @app.get('/v1/metrics')
     async def metrics_route(request):
--- a/pearrun/api/settings.py
+++ b/pearrun/api/settings.py
@@ -1,14 +1,15 @@
-"""Settings: the YAML tree, checked at load.
+"""Settings: a YAML tree, validated when it is loaded.
 
 A settings file has four branches::
 
     host:      this daemon's name, failure domain and addresses
-    platform:  where the platform's log service and cloud API are
+    platform:  addresses of the platform's log service and cloud API
     endpoints: the engines and plain services this daemon may route to
     teams:     one branch per team: its customers and services
 
-Only ``teams`` is shared; operators publish it on the log service with
-``pearrun config apply`` and every daemon follows it by offset.
+Only ``teams`` is shared by all daemons.  Operators publish it on the log
+service with ``pearrun config apply``, and every daemon reads the stream
+from the last offset that it has seen.
 """
 
 from typing import Any
@@ -24,26 +25,26 @@
 DEFAULT_TTFT_MS = 460
 DEFAULT_ITL_MS = 77
 DEFAULT_TOTAL_MS = 30_000
-LOADER = getattr(yaml, 'CSafeLoader', yaml.SafeLoader)
+YAML_LOADER = getattr(yaml, 'CSafeLoader', yaml.SafeLoader)
 
 
-class _Strict(pydantic.BaseModel):
+class _StrictModel(pydantic.BaseModel):
     model_config = pydantic.ConfigDict(extra='forbid', frozen=True)
 
 
-class Listen(_Strict):
-    """An address to listen on."""
+class ListenAddress(_StrictModel):
+    """The address that the daemon listens on."""
 
     host: str = '127.0.0.1'
     port: int = pydantic.Field(ge=1, le=65535)
 
 
-class HostSettings(_Strict):
-    """This daemon's identity and addresses."""
+class HostSettings(_StrictModel):
+    """This daemon's name, failure domain, addresses and intervals."""
 
     name: str = pydantic.Field(min_length=1)
     zone: str = pydantic.Field(min_length=1)
-    listen: Listen
+    listen: ListenAddress
     peers: list[str] = []
     heartbeat_ms: int = pydantic.Field(default=1000, ge=50)
     peer_timeout_ms: int = pydantic.Field(default=3000, ge=100)
@@ -67,8 +68,8 @@
     move_cache: bool = True
 
 
-class PlatformSettings(_Strict):
-    """Where the platform's services answer."""
+class PlatformSettings(_StrictModel):
+    """Addresses and limits of the platform's services."""
 
     log_url: str
     cloud_url: str | None = None
@@ -78,8 +79,8 @@
     retention_ms: int = pydantic.Field(default=3_600_000, ge=1000)
 
 
-class EndpointSettings(_Strict):
-    """One back end this daemon may route to."""
+class EndpointSettings(_StrictModel):
+    """One endpoint that this daemon may route requests to."""
 
     id: str = pydantic.Field(min_length=1)
     zone: str = pydantic.Field(min_length=1)
@@ -88,8 +89,12 @@
     services: list[str]
 
 
-class Targets(_Strict):
-    """Latency targets for a service, met by 95 in 100 requests."""
+class LatencyTargets(_StrictModel):
+    """Latency targets of a service.
+
+    ``objective`` is the share of requests that has to meet them, by
+    default 95 in 100.
+    """
 
     ttft_ms: int = pydantic.Field(default=DEFAULT_TTFT_MS, ge=1)
     itl_ms: int = pydantic.Field(default=DEFAULT_ITL_MS, ge=1)
@@ -97,8 +102,8 @@
     objective: float = pydantic.Field(default=0.95, gt=0, lt=1)
 
 
-class ServiceSettings(_Strict):
-    """A model deployment or plain service that callers name."""
+class ServiceSettings(_StrictModel):
+    """A model deployment or plain service that callers request by name."""
 
     kind: BackendKind = BackendKind.ENGINE
     idempotent: bool = True
@@ -108,25 +113,25 @@
     routing: RoutingKind = RoutingKind.AFFINITY
     affinity_slack: int = pydantic.Field(default=4, ge=0)
     affinity_reach: int = pydantic.Field(default=1500, ge=0)
-    targets: Targets = Targets()
+    targets: LatencyTargets = LatencyTargets()
 
     @pydantic.field_validator('priority', mode='before')
     @classmethod
     def parse_priority(cls, value):
-        """Accept priorities by name (``interactive``) as well as value."""
+        """Accept a priority by name (``interactive``) or by value."""
         if isinstance(value, str):
             return Priority[value.upper()]
         return value
 
 
-class TeamSettings(_Strict):
+class TeamSettings(_StrictModel):
     """One team's branch: its customers and its services."""
 
     customers: list[str] = []
     services: dict[str, ServiceSettings] = {}
 
 
-class TeamTree(_Strict):
+class TeamTree(_StrictModel):
     """The shared branch of the settings, one sub-branch per team."""
 
     version: int = pydantic.Field(default=0, ge=0)
@@ -134,13 +139,13 @@
 
     @pydantic.model_validator(mode='after')
     def check_unique_names(self):
-        """Refuse a service or customer claimed by two teams."""
+        """Reject a service or customer that two teams define."""
         seen = {}
         for team, branch in self.teams.items():
             for name in list(branch.services) + list(branch.customers):
                 if name in seen and seen[name] != team:
                     raise ValueError(
-                        f'{name!r} belongs to both {seen[name]!r} and {team!r}'
+                        f'{name!r} defined by both {seen[name]!r} and {team!r}'
                     )
                 seen[name] = team
         return self
@@ -157,12 +162,12 @@
         return None
 
     def has_customer(self, name):
-        """Say whether any team lists this customer."""
+        """Return whether any team lists this customer."""
         return any(name in b.customers for b in self.teams.values())
 
 
-class Settings(_Strict):
-    """A whole settings file for one daemon."""
+class Settings(_StrictModel):
+    """The complete settings file of one daemon."""
 
     host: HostSettings
     platform: PlatformSettings
@@ -175,8 +180,11 @@
         return TeamTree(version=self.version, teams=self.teams)
 
 
-def _line_of(node, path):
-    """Return the 1-based line of ``path`` inside a composed YAML node."""
+def _find_line(node, path):
+    """Return the 1-based line of ``path`` in a composed YAML node.
+
+    If part of the path does not exist, the line of the part before it.
+    """
     line = node.start_mark.line + 1 if node is not None else 0
     for part in path:
         if isinstance(node, yaml.MappingNode):
@@ -196,19 +204,19 @@
 
 
 def parse_yaml(text, model, source='<settings>'):
-    """Parse YAML text and check it against a settings model.
+    """Parse YAML text and validate it against a settings model.
 
     :param text: the YAML document.
     :param model: a pydantic model class such as :class:`Settings`.
     :param source: a name for the text, used in error messages.
     :returns: an instance of ``model``.
     :raises SettingsSyntaxError: the text is not YAML (code 1101).
-    :raises SettingsValueError: a key is missing or wrong (code 1102);
+    :raises SettingsValueError: a key is missing or invalid (code 1102);
         the message names the key and its line.
     """
     try:
-        node = yaml.compose(text, Loader=LOADER)
-        data: Any = yaml.load(text, Loader=LOADER)
+        node = yaml.compose(text, Loader=YAML_LOADER)
+        data: Any = yaml.load(text, Loader=YAML_LOADER)
     except yaml.YAMLError as exc:
         raise exceptions.SettingsSyntaxError(
             f'{source}: not valid YAML: {exc}'
@@ -223,33 +231,33 @@
         first = exc.errors()[0]
         path = first['loc']
         key = '.'.join(str(p) for p in path) or '<root>'
-        line = _line_of(node, path)
+        line = _find_line(node, path)
         raise exceptions.SettingsValueError(
             f'{source}: line {line}: {key}: {first["msg"]}'
         ) from exc
 
 
 def load_yaml(path, model):
-    """Read a YAML file and check it against a settings model.
+    """Read a YAML file and validate it against a settings model.
 
     :param path: path of the file.
     :param model: a pydantic model class such as :class:`Settings`.
     :returns: an instance of ``model``.
-    :raises SettingsError: the file cannot be read or is wrong.
+    :raises SettingsError: the file cannot be read or is invalid.
     """
     try:
-        with open(path, encoding='utf-8') as handle:
-            text = handle.read()
+        with open(path, encoding='utf-8') as file:
+            text = file.read()
     except OSError as exc:
         raise exceptions.SettingsError(f'{path}: {exc.strerror}') from exc
     return parse_yaml(text, model, source=str(path))
 
 
 def load(path):
-    """Read and check a daemon's settings file.
+    """Read and validate a daemon's settings file.
 
     :param path: path of the YAML file.
     :returns: :class:`Settings`.
-    :raises SettingsError: the file cannot be read or is wrong.
+    :raises SettingsError: the file cannot be read or is invalid.
     """
     return load_yaml(path, Settings)
--- a/pearrun/api/web.py
+++ b/pearrun/api/web.py
@@ -1,4 +1,4 @@
-"""Small helpers around sanic shared by the daemon and the stand-ins."""
+"""Sanic helpers shared by the daemon and the test stand-ins."""
 
 import asyncio
 import os
@@ -7,22 +7,23 @@
 
 from pearrun import exceptions
 
-NEVER_S = 86_400
+# One day: in effect no time limit for responses.
+RESPONSE_TIMEOUT_S = 86_400
 
 
 def serve(app, host, port, grace_s=15.0):
-    """Run a sanic app in this process only, until it is told to stop.
+    """Run a sanic app in this process until it is stopped.
 
-    pearrun processes start no other process, so sanic's worker
-    manager is not used.
+    Sanic's worker manager is not used, since pearrun processes do not
+    start subprocesses.
 
     :param app: a :class:`sanic.Sanic` application.
     :param host: IP address to listen on.
     :param port: TCP port to listen on.
-    :param grace_s: seconds that open connections get to finish.
+    :param grace_s: graceful shutdown timeout for open connections.
     """
     app.config.GRACEFUL_SHUTDOWN_TIMEOUT = grace_s
-    app.config.RESPONSE_TIMEOUT = NEVER_S
+    app.config.RESPONSE_TIMEOUT = RESPONSE_TIMEOUT_S
     app.config.KEEP_ALIVE_TIMEOUT = 30
     app.run(
         host=host,
@@ -34,39 +35,40 @@
 
 
 def install_admin_routes(app):
-    """Add what tests and measurements need of any stand-in.
+    """Add the routes that tests and benchmarks use on every stand-in.
 
-    ``GET /admin/traffic`` answers ``{requests, bytes}``: heads and
-    bodies of requests, and bodies of responses that are not streamed.
-    ``POST /admin/die`` ``{after_ms}`` ends the process without notice,
-    as a host that is taken away does.
+    ``GET /admin/traffic`` returns ``{requests, bytes}``: the number of
+    requests, and the size of request heads, request bodies and
+    non-streamed response bodies.
+    ``POST /admin/die`` ``{after_ms}`` exits the process abruptly, like
+    the loss of its host.
     """
     counts = {'requests': 0, 'bytes': 0}
 
     @app.on_response
-    async def count(request, reply):
+    async def count_traffic(request, reply):
         counts['requests'] += 1
         counts['bytes'] += len(request.head) + len(request.body or b'')
         counts['bytes'] += len(getattr(reply, 'body', None) or b'')
 
     @app.get('/admin/traffic')
-    async def traffic(request):
+    async def get_traffic(request):
         return response.json(counts)
 
     @app.post('/admin/die')
-    async def die(request):
+    async def exit_process(request):
         after_ms = int((request.json or {}).get('after_ms', 0))
         asyncio.get_running_loop().call_later(after_ms / 1000, os._exit, 1)
         return response.json({'after_ms': after_ms})
 
 
-def error_response(exc, headers=None):
-    """Turn a :class:`PearrunError` into a JSON response.
+def build_error_response(exc, headers=None):
+    """Convert a :class:`PearrunError` to a JSON response.
 
-    The response carries a ``Retry-After`` header when the caller may
-    come back later.
+    The response has a ``Retry-After`` header if the caller may retry.
 
-    :param headers: further headers to send along.
+    :param exc: the :class:`PearrunError`.
+    :param headers: additional response headers.
     """
     headers = dict(headers or {})
     if exc.retry_after_s is not None:
@@ -77,8 +79,8 @@
 
 
 def install_error_handler(app):
-    """Answer every :class:`PearrunError` with its code and status."""
+    """Respond to every :class:`PearrunError` with its code and status."""
 
     @app.exception(exceptions.PearrunError)
-    async def handle(request, exc):
-        return error_response(exc)
+    async def handle_error(request, exc):
+        return build_error_response(exc)
--- a/tests/test_bench.py
+++ b/tests/test_bench.py
@@ -99,7 +99,7 @@
     ],
 )
 def test_only_whole_answers_in_time_count_as_within_target(changes, within):
-    targets = settings_module.Targets()
+    targets = settings_module.LatencyTargets()
     assert report.is_within(outcome(**changes), targets) is within
 
 
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -71,8 +71,8 @@
     def refresh(self, number):
         """A follower refreshes although its view may be stale."""
         follower = self.followers[number]
-        follower.seen_ms = -10 * follower.settings.platform.retention_ms
-        self.run(follower.refresh())
+        follower.newest_seen_ms = -10 * follower.settings.platform.retention_ms
+        self.run(follower.republish_before_expiry())
 
     @stateful.rule(number=st.integers(0, 2))
     def restart(self, number):
@@ -190,8 +190,8 @@
         stale = config.ConfigFollower(log, builders.settings())
         await stale.poll_once()
         await config.publish(log, STREAM, builders.team_tree())
-        stale.seen_ms -= 10 * stale.settings.platform.retention_ms
-        return await stale.refresh()
+        stale.newest_seen_ms -= 10 * stale.settings.platform.retention_ms
+        return await stale.republish_before_expiry()
 
     assert run(scenario()) is False
     assert [v['version'] for v in log.values(STREAM)] == [1, 2]
--- a/tests/test_journal.py
+++ b/tests/test_journal.py
@@ -143,7 +143,7 @@
         self.settle()
 
     async def finish(self, host):
-        for request_id in sorted(host.journal.open)[:1]:
+        for request_id in sorted(host.journal.open_requests)[:1]:
             host.journal.enqueue(entries.Finished(request_id, 'done', ('x',)))
 
     @stateful.rule(
