--- a/tests/cluster.py
+++ b/tests/cluster.py
@@ -1,4 +1,4 @@
-"""Real pearrun processes on 127.0.0.1: stand-ins and daemons, by name."""
+"""A cluster of pearrun daemons and stand-in processes on 127.0.0.1."""
 
 import dataclasses
 import json
@@ -29,7 +29,7 @@
 
 
 def call(url, body=None, headers=None, method=None, timeout=60):
-    """Send a request; return ``(status, headers, raw body)``."""
+    """Send an HTTP request; return ``(status, headers, raw body)``."""
     data = None if body is None else json.dumps(body).encode()
     request = urllib.request.Request(
         url, data=data, headers=headers or {}, method=method
@@ -44,15 +44,15 @@
 
 
 def call_json(*args, **kwargs):
-    """Send a request; return ``(status, headers, parsed body)``."""
+    """Send an HTTP request; return ``(status, headers, JSON body)``."""
     status, headers, raw = call(*args, **kwargs)
     return status, headers, json.loads(raw)
 
 
 def wait_until(check, timeout_s=15, what='condition'):
-    """Poll ``check`` until it is true.
+    """Poll ``check`` until it returns true.
 
-    :raises AssertionError: it stayed false for ``timeout_s``.
+    :raises AssertionError: it has not within ``timeout_s``.
     """
     deadline = time.monotonic() + timeout_s
     while time.monotonic() < deadline:
@@ -64,7 +64,7 @@
 
 @dataclasses.dataclass
 class Zone:
-    """How many processes of each kind one failure domain has."""
+    """Number of processes of each kind in one failure domain."""
 
     daemons: int = 1
     engines: int = 1
@@ -72,21 +72,21 @@
 
 
 class Cluster:
-    """Processes started for a test, each known by its name.
+    """Processes started for a test, each identified by its name.
 
-    Daemons are ``<zone>-<n>``, engines ``engine-<zone>-<n>``, plain
-    services ``service-<zone>-<n>``; the platform's are ``log`` and
-    ``cloud``.
+    Daemons are named ``<zone>-<n>``, engines ``engine-<zone>-<n>``, plain
+    services ``service-<zone>-<n>``, and the platform's services ``log``
+    and ``cloud``.
 
     :param workdir: a directory for settings files and logs.
-    :param zones: a map of zone name to :class:`Zone`.
+    :param zones: a dict of :class:`Zone` by zone name.
     :param engine_flags: extra flags of the engine stand-ins.
-    :param host: ``host`` settings laid over :data:`FAST_HOST`.
+    :param host: ``host`` settings that override :data:`FAST_HOST`.
     :param log_flags: extra flags of the log service stand-in.
-    :param links: whether daemons reach the log service, the cloud,
+    :param links: whether daemons connect to the log service, the cloud,
         their peers and other zones' endpoints through ``link-...``
-        stand-ins.
-    :param platform: ``platform`` settings laid over the defaults.
+        stand-ins, which can cut the connection.
+    :param platform: ``platform`` settings that override the defaults.
     """
 
     def __init__(
@@ -105,7 +105,7 @@
         self.host = {**FAST_HOST, **(host or {})}
         self.log_flags = list(log_flags)
         self.links = links
-        self.carried = {}
+        self.link_ports = {}
         self.platform = platform or {}
         self.ports = {}
         self.procs = {}
@@ -122,30 +122,30 @@
         """Return the names of the processes of one kind."""
         return [n for n, k in self.kinds.items() if k == kind]
 
-    def plan(self, name, kind, zone='-'):
-        """Reserve a name and a port."""
+    def register(self, name, kind, zone='-'):
+        """Register a process and reserve a port for it."""
         self.ports[name] = builders.free_port()
         self.kinds[name] = kind
         self.zone_of[name] = zone
 
     def start(self, name, *argv):
-        """Start a process; its output goes to a file in the workdir."""
+        """Start a process; its output is written to a file in workdir."""
         self.argv[name] = argv
-        out = open(os.path.join(self.workdir, f'{name}.log'), 'ab')
+        output = open(os.path.join(self.workdir, f'{name}.log'), 'ab')
         self.procs[name] = subprocess.Popen(
             [os.path.join(BIN_DIR, argv[0]), *argv[1:]],
-            stdout=out,
+            stdout=output,
             stderr=subprocess.STDOUT,
         )
 
     def restart(self, name):
-        """Start a process that ended, as it was started before."""
+        """Start a process that has ended with the same arguments again."""
         self.procs[name].wait(timeout=30)
         self.start(name, *self.argv[name])
         self.wait_healthy(name)
 
     def start_standin(self, name, *flags):
-        """Start a stand-in of the name's kind."""
+        """Start a stand-in of the kind registered for the name."""
         self.start(
             name,
             'pearrun-standin',
@@ -156,11 +156,11 @@
         )
 
     def wait_healthy(self, name):
-        """Wait until a process answers on ``/healthz``."""
+        """Wait until a process responds with 200 on ``/healthz``."""
 
         def healthy():
             if self.procs[name].poll() is not None:
-                raise AssertionError(f'{name} ended while starting')
+                raise AssertionError(f'{name} exited during start-up')
             try:
                 return call(f'{self.url(name)}/healthz', timeout=1)[0] == 200
             except OSError:
@@ -169,18 +169,18 @@
         wait_until(healthy, START_TIMEOUT_S, f'{name} healthy')
 
     def start_link(self, name, target):
-        """Start a link in front of a process's port."""
-        self.plan(name, 'link')
-        self.carried[name] = builders.free_port()
+        """Start a link stand-in that forwards to a process."""
+        self.register(name, 'link')
+        self.link_ports[name] = builders.free_port()
         self.start_standin(
             name,
-            f'--listen_port={self.carried[name]}',
+            f'--listen_port={self.link_ports[name]}',
             f'--target=127.0.0.1:{self.ports[target]}',
         )
         self.wait_healthy(name)
 
     def start_links(self):
-        """Start each daemon's links: platform, peers, other zones."""
+        """Start each daemon's links to platform, peers and other zones."""
         for name in self.list_names('daemon'):
             self.start_link(f'link-{name}-log', 'log')
             self.start_link(f'link-{name}-cloud', 'cloud')
@@ -194,7 +194,7 @@
                     self.start_link(f'link-{name}-{endpoint}', endpoint)
 
     def peers_of(self, name):
-        """Return the other daemons of a daemon's zone."""
+        """Return the names of the other daemons in a daemon's zone."""
         zone = self.zone_of[name]
         return [
             n
@@ -203,8 +203,8 @@
         ]
 
     def port_to(self, name, target):
-        """Return the port at which a daemon reaches a process."""
-        return self.carried.get(f'link-{name}-{target}', self.ports[target])
+        """Return the port on which a daemon connects to a process."""
+        return self.link_ports.get(f'link-{name}-{target}', self.ports[target])
 
     def set_links(self, name, mode):
         """Set every link of a daemon to ``open``, ``cut`` or ``silent``."""
@@ -213,16 +213,16 @@
                 call_json(f'{self.url(link)}/admin/link', {'mode': mode})
 
     def start_all(self):
-        """Start everything and publish the team tree."""
-        self.plan('log', 'log')
-        self.plan('cloud', 'cloud')
+        """Start all processes and publish the team tree."""
+        self.register('log', 'log')
+        self.register('cloud', 'cloud')
         for zone, size in self.zones.items():
             for n in range(1, size.engines + 1):
-                self.plan(f'engine-{zone}-{n}', 'engine', zone)
+                self.register(f'engine-{zone}-{n}', 'engine', zone)
             for n in range(1, size.services + 1):
-                self.plan(f'service-{zone}-{n}', 'service', zone)
+                self.register(f'service-{zone}-{n}', 'service', zone)
             for n in range(1, size.daemons + 1):
-                self.plan(f'{zone}-{n}', 'daemon', zone)
+                self.register(f'{zone}-{n}', 'daemon', zone)
         hosts = [f'{n}:{z}' for n, z in self.zone_of.items() if z != '-']
         self.start_standin('log', *self.log_flags)
         self.start_standin('cloud', f'--hosts={",".join(hosts)}')
@@ -238,8 +238,8 @@
             self.start_links()
         for name in self.list_names('daemon'):
             path = os.path.join(self.workdir, f'{name}.yaml')
-            with open(path, 'w', encoding='utf-8') as handle:
-                yaml.safe_dump(self.daemon_settings(name), handle)
+            with open(path, 'w', encoding='utf-8') as file:
+                yaml.safe_dump(self.daemon_settings(name), file)
             self.start(name, 'pearrund', f'--settings={path}')
         for name in self.list_names('daemon'):
             self.wait_healthy(name)
@@ -247,7 +247,7 @@
         return self
 
     def daemon_settings(self, name):
-        """Return a daemon's settings as a plain map."""
+        """Return a daemon's settings as a dict."""
         zone = self.zone_of[name]
         peers = [
             f'ws://127.0.0.1:{self.port_to(name, n)}/peer'
@@ -286,7 +286,7 @@
         }
 
     def run_cli(self, *args):
-        """Run the ``pearrun`` tool against this cluster."""
+        """Run the ``pearrun`` command against this cluster."""
         daemons = ','.join(self.url(n) for n in self.list_names('daemon'))
         return subprocess.run(
             [
@@ -303,17 +303,17 @@
     def apply_config(self):
         """Publish the cluster's team tree."""
         path = os.path.join(self.workdir, 'teams.yaml')
-        with open(path, 'w', encoding='utf-8') as handle:
-            yaml.safe_dump(self.tree, handle)
-        done = self.run_cli('config', 'apply', path)
-        assert done.returncode == 0, done.stderr
+        with open(path, 'w', encoding='utf-8') as file:
+            yaml.safe_dump(self.tree, file)
+        completed = self.run_cli('config', 'apply', path)
+        assert completed.returncode == 0, completed.stderr
 
     def status(self, name):
         """Return a daemon's ``/v1/status``."""
         return call_json(f'{self.url(name)}/v1/status')[2]
 
     def wait_for_version(self, version):
-        """Wait until every daemon has a configuration version."""
+        """Wait until all daemons have at least a configuration version."""
         for name in self.list_names('daemon'):
             wait_until(
                 lambda n=name: self.status(n)['config_version'] >= version,
@@ -323,8 +323,9 @@
     def signal(self, name, signal_name):
         """Send a signal, such as ``KILL`` or ``STOP``, to a process.
 
-        A killed process has ended when this returns, and its connections
-        with it: what comes next finds it gone, however busy the machine is.
+        After ``KILL``, waits until the process has exited.  Its
+        connections are then closed, so the next step of a test does not
+        depend on how fast the machine is.
         """
         proc = self.procs[name]
         if proc.poll() is None:
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -1,4 +1,4 @@
-"""Operators racing on the config stream; followers never revert."""
+"""Concurrent publishers on the config stream; followers never revert."""
 
 import asyncio
 
@@ -15,10 +15,10 @@
 
 
 class OperatorRace(stateful.RuleBasedStateMachine):
-    """Publishers race with stale reads; followers poll through outages.
+    """Concurrent publishers and followers, with outages and expiry.
 
-    Invariants: every publish either lands as a new version or is told
-    of the conflict; a follower's version only goes up and ends at the
+    Invariants: every publish either creates a new version or fails with
+    a conflict; a follower's version never decreases and finally is the
     latest published version.
     """
 
@@ -45,7 +45,7 @@
         lost=st.integers(0, 2),
     )
     def publish(self, team, lost):
-        """Publish, the log losing answers: yet the outcome is known."""
+        """Publish while responses are lost: the outcome is still known."""
         self.log.lose_answers = lost
         try:
             version, _ = self.run(
@@ -63,20 +63,20 @@
 
     @stateful.rule(count=st.integers(1, 4))
     def expire(self, count):
-        """Retention drops old records, the newest kept by refreshing."""
+        """Old records expire; republishing keeps the newest one."""
         held = len(self.log.values(STREAM))
         self.log.expire(STREAM, min(count, held - 1) if held else 0)
 
     @stateful.rule(number=st.integers(0, 2))
     def refresh(self, number):
-        """A follower refreshes although its view may be stale."""
+        """A follower republishes although its state may be stale."""
         follower = self.followers[number]
         follower.newest_seen_ms = -10 * follower.settings.platform.retention_ms
         self.run(follower.republish_before_expiry())
 
     @stateful.rule(number=st.integers(0, 2))
     def restart(self, number):
-        """A host without a disk starts from nothing."""
+        """A restarted host has no state of its own."""
         self.followers[number] = config.ConfigFollower(
             self.log, builders.settings()
         )
@@ -86,7 +86,7 @@
             assert self.followers[number].tree.version == self.published
 
     @stateful.rule(number=st.integers(0, 2), of=st.integers(0, 2))
-    def hear_from_peer(self, number, of):
+    def receive_from_peer(self, number, of):
         text = config.tree_to_yaml(self.followers[of].tree)
         self.followers[number].receive(text)
         assert self.followers[number].tree.version >= self.seen[number]
@@ -94,7 +94,7 @@
 
     @stateful.rule()
     def race_two_publishers(self):
-        """Both read the same head; exactly one may win."""
+        """Both read the same next offset; exactly one append succeeds."""
         if self.log.down:
             return
         tree, head = self.run(config.read_latest(self.log, STREAM))
@@ -108,10 +108,10 @@
             }
             try:
                 self.run(self.log.append(STREAM, value, expected_offset=head))
-                outcomes.append('won')
+                outcomes.append('published')
             except exceptions.ConfigConflictError:
-                outcomes.append('lost')
-        assert outcomes == ['won', 'lost']
+                outcomes.append('conflict')
+        assert outcomes == ['published', 'conflict']
         self.published = base + 1
 
     @stateful.rule(down=st.booleans())
@@ -155,7 +155,7 @@
 
 
 def test_newest_tree_is_read_after_older_records_expired():
-    """A daemon that starts late starts with what is in force."""
+    """A daemon that starts late still finds the latest version."""
     log = builders.FakeLog()
 
     async def scenario():
@@ -169,7 +169,7 @@
     assert run(scenario()) == 3
 
 
-def test_version_goes_on_rising_after_everything_expired():
+def test_version_increases_after_all_records_expired():
     log = builders.FakeLog()
 
     async def scenario():
@@ -182,7 +182,7 @@
     assert version > 3
 
 
-def test_stale_follower_cannot_put_an_older_record_behind_a_newer():
+def test_stale_follower_cannot_append_older_record_after_newer():
     log = builders.FakeLog()
 
     async def scenario():
--- a/tests/test_journal.py
+++ b/tests/test_journal.py
@@ -1,4 +1,4 @@
-"""Acceptance, sealing and take-over, under everything the log can do."""
+"""Acceptance, sealing and takeover under faults of the log service."""
 
 import asyncio
 import contextlib
@@ -19,29 +19,29 @@
 TIMEOUT_MS = 10
 
 
-class FrozenLog:
-    """One host's way to the log, held up while the host is frozen."""
+class PausableLog:
+    """One host's log client, which blocks while the host is paused."""
 
     def __init__(self, log):
         self.log = log
-        self.thawed = asyncio.Event()
-        self.thawed.set()
+        self.resumed = asyncio.Event()
+        self.resumed.set()
 
     async def append(self, *args, **kwargs):
-        await self.thawed.wait()
+        await self.resumed.wait()
         return await self.log.append(*args, **kwargs)
 
     async def read(self, *args, **kwargs):
-        await self.thawed.wait()
+        await self.resumed.wait()
         return await self.log.read(*args, **kwargs)
 
     async def read_all(self, *args, **kwargs):
-        await self.thawed.wait()
+        await self.resumed.wait()
         return await self.log.read_all(*args, **kwargs)
 
 
 class FakeMembership:
-    """Says that everybody but the asker is dead, rightly or not."""
+    """Reports the hosts of the streams in ``dead`` as dead, alive or not."""
 
     def __init__(self):
         self.dead = set()
@@ -58,10 +58,10 @@
 
 
 class Host:
-    """A journal and a recovery with nothing else of a daemon."""
+    """The journal and recovery parts of one daemon."""
 
     def __init__(self, log, number):
-        self.log = FrozenLog(log)
+        self.log = PausableLog(log)
         settings = builders.settings(f'h{number}', timeout_ms=TIMEOUT_MS)
         self.journal = journal_module.Journal(self.log, settings)
         self.membership = FakeMembership()
@@ -81,13 +81,13 @@
             task.cancel()
 
 
-class Survival(stateful.RuleBasedStateMachine):
-    """Hosts accept, freeze, die and take each other's journals over.
+class HostFailures(stateful.RuleBasedStateMachine):
+    """Hosts accept requests, are paused and take each other's journals over.
 
-    At the end one host takes over all others.  Then every request
-    whose caller was told "accepted" is owed by that host or finished,
-    no request whose caller was told "not run" is, and no journal was
-    emptied by two hosts.
+    At the end one host takes over all other journals.  Then every request
+    whose caller was told "accepted" is unfinished on that host or
+    finished, no request whose caller was told "not run" is, and no
+    journal has been emptied by two hosts.
     """
 
     def __init__(self):
@@ -100,21 +100,21 @@
 
     async def begin(self):
         self.hosts = [Host(self.log, n) for n in range(HOSTS)]
-        self.note_streams()
+        self.record_streams()
 
     def run(self, coroutine):
         return self.loop.run_until_complete(coroutine)
 
     def settle(self, ms=2):
         self.run(asyncio.sleep(ms / 1000))
-        self.note_streams()
+        self.record_streams()
 
-    def note_streams(self):
+    def record_streams(self):
         for host in self.hosts:
             self.streams[host.journal.stream] = host
 
     def teardown(self):
-        self.check_promises()
+        self.check_outcomes()
         for host in self.hosts:
             host.stop()
         self.run(asyncio.sleep(0))
@@ -166,10 +166,10 @@
         self.log.down = down
         self.settle(ms)
 
-    @stateful.rule(number=st.integers(0, HOSTS - 1), frozen=st.booleans())
-    def freeze(self, number, frozen):
-        thawed = self.hosts[number].log.thawed
-        thawed.clear() if frozen else thawed.set()
+    @stateful.rule(number=st.integers(0, HOSTS - 1), paused=st.booleans())
+    def pause(self, number, paused):
+        resumed = self.hosts[number].log.resumed
+        resumed.clear() if paused else resumed.set()
         self.settle()
 
     async def take_over(self, host, stream):
@@ -180,8 +180,8 @@
     @stateful.rule(
         number=st.integers(0, HOSTS - 1), of=st.integers(0, HOSTS - 1)
     )
-    def suspect(self, number, of):
-        """One host takes another for dead, even if it is not."""
+    def take_over_suspect(self, number, of):
+        """One host takes over another, which may still be alive."""
         if number == of:
             return
         host = self.hosts[number]
@@ -189,13 +189,13 @@
         host.work.append(self.loop.create_task(self.take_over(host, stream)))
         self.settle()
 
-    def check_promises(self):
+    def check_outcomes(self):
         log = self.log
         log.down = False
         log.lose_answers = log.lose_appends = log.delay_appends = 0
         log.deliver()
         for host in self.hosts:
-            host.log.thawed.set()
+            host.log.resumed.set()
         self.settle(3 * TIMEOUT_MS)
         survivor = self.hosts[0]
         for _ in range(2):
@@ -204,43 +204,43 @@
                     self.run(self.take_over(survivor, stream))
             self.settle(3 * TIMEOUT_MS)
         own = self.run(replay_journal(log, survivor.journal.stream))
-        owed = set(own.unfinished)
+        unfinished = set(own.unfinished)
         ended = set()
         for stream in self.streams:
-            ledger = self.run(replay_journal(log, stream))
-            ended |= set(ledger.finished)
+            state = self.run(replay_journal(log, stream))
+            ended |= set(state.finished)
             if stream != survivor.journal.stream:
-                assert ledger.emptied
+                assert state.emptied
                 self.check_emptied_once(stream)
         for request_id, told in self.told.items():
             if told == 'accepted':
-                assert request_id in owed | ended
+                assert request_id in unfinished | ended
             if told == 'not run':
-                assert request_id not in owed | ended
+                assert request_id not in unfinished | ended
             assert told != 'pending'
 
     def check_emptied_once(self, stream):
-        holder = None
+        sealed_by = None
         emptied = 0
         for value in self.log.values(stream):
             for raw in value['entries']:
                 match entries.from_value(raw):
                     case entries.Sealed(by=by):
                         assert not emptied
-                        holder = by
+                        sealed_by = by
                     case entries.Emptied(by=by):
-                        emptied += by == holder
+                        emptied += by == sealed_by
         assert emptied == 1
 
 
-Survival.TestCase.settings = hypothesis_settings(
+HostFailures.TestCase.settings = hypothesis_settings(
     max_examples=60, stateful_step_count=25, deadline=None, derandomize=True
 )
-TestSurvival = Survival.TestCase
+TestHostFailures = HostFailures.TestCase
 
 
 def run_with_journal(scenario, **platform):
-    """Run ``scenario(log, journal)`` with the journal's writer going."""
+    """Run ``scenario(log, journal)`` while the journal is being written."""
 
     async def main():
         log = builders.FakeLog()
@@ -255,7 +255,7 @@
     return asyncio.run(main())
 
 
-def test_lost_answer_of_an_acceptance_is_settled_not_refused():
+def test_acceptance_with_lost_response_is_resolved():
     async def scenario(log, journal):
         log.lose_answers = 1
         await journal.accept(builders.accepted('h.1.a'))
@@ -264,7 +264,7 @@
     assert set(run_with_journal(scenario).unfinished) == {'h.1.a'}
 
 
-def test_outage_refuses_at_once_and_says_not_run():
+def test_acceptance_fails_at_once_during_outage_with_not_run():
     async def scenario(log, journal):
         log.down = True
         with pytest.raises(exceptions.JournalUnavailableError) as caught:
@@ -273,14 +273,14 @@
         await journal.write(entries.Finished('h.1.b', 'done'))
         return caught.value, await replay_journal(log, journal.stream)
 
-    failure, ledger = run_with_journal(scenario)
+    failure, state = run_with_journal(scenario)
     assert failure.not_run
     assert failure.retry_after_s >= 1
-    assert not ledger.unfinished
+    assert not state.unfinished
 
 
-def test_unsettled_acceptance_is_withdrawn_when_it_did_land():
-    """Told "unknown", so this host must not leave it to be run."""
+def test_unresolved_acceptance_that_was_committed_is_withdrawn():
+    """The caller was told "unknown", so no host may run the request."""
 
     async def scenario(log, journal):
         log.lose_answers = 1
@@ -291,12 +291,12 @@
         await journal.write(entries.Finished('h.1.b', 'done'))
         return caught.value, await replay_journal(log, journal.stream)
 
-    failure, ledger = run_with_journal(scenario)
+    failure, state = run_with_journal(scenario)
     assert not failure.not_run
-    assert not ledger.unfinished
+    assert not state.unfinished
 
 
-def test_entries_that_arrive_together_go_out_together():
+def test_concurrent_entries_are_batched():
     async def scenario(log, journal):
         writes = [
             journal.accept(builders.accepted(f'h.1.{n}')) for n in range(100)
--- a/tests/test_lookup.py
+++ b/tests/test_lookup.py
@@ -1,4 +1,4 @@
-"""Finding a request while its journal is being taken over."""
+"""Lookup of a request while its journal is being taken over."""
 
 import asyncio
 import types
@@ -16,7 +16,7 @@
 
 
 class NoMembers:
-    """No other daemon is alive."""
+    """A membership without other daemons."""
 
     def find(self, stream):
         return None
@@ -26,14 +26,14 @@
 
 
 class NoJobs:
-    """No job is held in memory."""
+    """A dispatcher without jobs."""
 
     def find(self, request_id):
         return None
 
 
-class SilentWriter:
-    """The request's host is known and has not been heard for a while."""
+class DeadMembers:
+    """A membership in which every journal's writer is known but dead."""
 
     def find(self, stream):
         return stream
@@ -43,25 +43,29 @@
 
 
 def make_lookup(log, own_stream, members=None):
-    """Return a lookup whose daemon writes the journal ``own_stream``."""
+    """Return the lookup of the daemon that writes ``own_stream``."""
     members = members or NoMembers()
     journal = types.SimpleNamespace(stream=own_stream)
     return Lookup(builders.settings(), log, None, NoJobs(), members, journal)
 
 
-def write(log, stream, *written):
-    """Append one record of entries to a journal."""
+def append_entries(log, stream, *written):
+    """Append one record with the given entries to a journal."""
     values = [entries.to_value(entry) for entry in written]
     log.apply(stream, {'entries': values}, None)
 
 
 def locate(lookup):
-    """Look the request up."""
+    """Locate the request :data:`REQUEST_ID`."""
     return asyncio.run(lookup.locate(REQUEST_ID))
 
 
-def test_a_request_on_its_way_to_another_journal_is_never_unknown():
-    """Between the seal and the successor's own entry it is in neither."""
+def test_request_being_taken_over_is_never_unknown():
+    """After the seal, the request may be missing from the new journal.
+
+    Until the old journal is emptied, the lookup must report that the
+    request is being moved rather than that it is unknown.
+    """
     log = builders.FakeLog()
     old = journal_module.get_journal_stream(REQUEST_ID)
     new = journal_module.STREAM_PREFIX + 'new-1'
@@ -69,40 +73,40 @@
     accepted = entries.Accepted(
         REQUEST_ID, 'customer', 'pearrun-oficina', 'p', 8
     )
-    write(log, old, accepted, entries.Sealed(new))
+    append_entries(log, old, accepted, entries.Sealed(new))
     with pytest.raises(exceptions.RequestMovingError) as caught:
         locate(lookup)
     assert caught.value.retry_after_s == 1
 
-    write(log, new, accepted)
+    append_entries(log, new, accepted)
     with pytest.raises(exceptions.RequestMovingError):
         locate(lookup)
 
     finished = entries.Finished(REQUEST_ID, 'done', ('a',), 'stop')
-    write(log, old, entries.Emptied(new))
-    write(log, new, finished)
+    append_entries(log, old, entries.Emptied(new))
+    append_entries(log, new, finished)
     found = locate(lookup)
     assert isinstance(found, Stored)
     assert found.finished.tokens == ('a',)
 
 
-def test_a_request_that_no_journal_holds_is_unknown():
+def test_request_in_no_journal_is_unknown():
     log = builders.FakeLog()
     lookup = make_lookup(log, journal_module.STREAM_PREFIX + 'new-1')
     with pytest.raises(exceptions.UnknownRequestError):
         locate(lookup)
 
 
-def test_a_request_of_a_host_that_is_cut_off_is_not_called_unknown():
-    """It may be served there and written once the log is back."""
+def test_request_of_unreachable_host_is_not_unknown():
+    """The host may serve it and journal it once the log is reachable."""
     log = builders.FakeLog()
     old = journal_module.get_journal_stream(REQUEST_ID)
     new = journal_module.STREAM_PREFIX + 'new-1'
-    lookup = make_lookup(log, new, SilentWriter())
+    lookup = make_lookup(log, new, DeadMembers())
     with pytest.raises(exceptions.RequestMovingError) as caught:
         locate(lookup)
     assert caught.value.retry_after_s == 1
 
-    write(log, old, entries.Sealed(new), entries.Emptied(new))
+    append_entries(log, old, entries.Sealed(new), entries.Emptied(new))
     with pytest.raises(exceptions.UnknownRequestError):
         locate(lookup)
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -1,4 +1,4 @@
-"""SIGHUP: settings read again, bad ones refused, the good ones kept."""
+"""Reload on SIGHUP: invalid settings are rejected, the old ones kept."""
 
 import os
 
@@ -22,34 +22,34 @@
 
 def write_settings(cluster, settings):
     path = os.path.join(cluster.workdir, f'{DAEMON}.yaml')
-    with open(path, 'w', encoding='utf-8') as handle:
-        yaml.safe_dump(settings, handle)
+    with open(path, 'w', encoding='utf-8') as file:
+        yaml.safe_dump(settings, file)
     cluster.signal(DAEMON, 'HUP')
 
 
-def endpoints(cluster):
+def get_endpoint_states(cluster):
     return {e['id']: e['state'] for e in cluster.status(DAEMON)['endpoints']}
 
 
-def log_of(cluster):
+def read_log(cluster):
     path = os.path.join(cluster.workdir, f'{DAEMON}.log')
-    with open(path, encoding='utf-8') as handle:
-        return handle.read()
+    with open(path, encoding='utf-8') as file:
+        return file.read()
 
 
-def test_bad_file_changes_nothing_and_good_one_is_taken(cluster):
-    before = endpoints(cluster)
+def test_invalid_file_is_ignored_and_valid_one_applied(cluster):
+    before = get_endpoint_states(cluster)
     settings = cluster.daemon_settings(DAEMON)
-    broken = dict(settings, endpoints=[{'id': 'x', 'zone': 7}])
-    write_settings(cluster, broken)
-    wait_until(lambda: '1102' in log_of(cluster), what='error 1102 logged')
-    assert endpoints(cluster) == before
+    invalid = dict(settings, endpoints=[{'id': 'x', 'zone': 7}])
+    write_settings(cluster, invalid)
+    wait_until(lambda: '1102' in read_log(cluster), what='error 1102 logged')
+    assert get_endpoint_states(cluster) == before
 
     removed = settings['endpoints'].pop(0)
     write_settings(cluster, settings)
     wait_until(
-        lambda: endpoints(cluster)[removed['id']] == 'leaving',
-        what='endpoint taken out',
+        lambda: get_endpoint_states(cluster)[removed['id']] == 'leaving',
+        what='endpoint leaving',
     )
     body = {'model': 'pearrun-oficina', 'prompt': 'p', 'max_tokens': 4}
     url = f'{cluster.url(DAEMON)}/v1/completions'
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings are checked at load, with the key and line in the error."""
+"""Validation of settings; errors name the key and its line."""
 
 import pytest
 
@@ -7,7 +7,7 @@
 from tests import builders
 
 
-def test_good_daemon_settings_load():
+def test_valid_daemon_settings_load():
     text = builders.daemon_settings_yaml(
         'bv-1', 'boa-viagem', 8101, 'http://127.0.0.1:1', []
     )
@@ -15,13 +15,13 @@
     assert loaded.host.zone == 'boa-viagem'
 
 
-def test_bad_yaml_gets_code_1101():
+def test_invalid_yaml_gets_code_1101():
     with pytest.raises(exceptions.SettingsSyntaxError) as caught:
         settings.parse_yaml('host: [unclosed', settings.Settings)
     assert caught.value.code == 1101
 
 
-def test_bad_value_names_key_and_line():
+def test_error_for_invalid_value_names_key_and_line():
     text = builders.daemon_settings_yaml(
         'bv-1', 'boa-viagem', 8101, 'http://127.0.0.1:1', []
     ).replace('port: 8101', 'port: 99999')
@@ -32,14 +32,14 @@
     assert 'line 4' in caught.value.message
 
 
-def test_unknown_key_is_refused():
+def test_unknown_key_is_rejected():
     text = builders.TEAM_TREE_YAML.replace('max_tokens: 24', 'max_tokns: 24')
     with pytest.raises(exceptions.SettingsValueError) as caught:
         settings.parse_yaml(text, settings.TeamTree)
     assert 'max_tokns' in caught.value.message
 
 
-def test_service_in_two_teams_is_refused():
+def test_service_in_two_teams_is_rejected():
     text = builders.TEAM_TREE_YAML.replace(
         'permit-assistant:', 'pearrun-oficina:'
     )
@@ -56,6 +56,6 @@
         assert f'| {error.code} | {error.__name__} |' in table
 
 
-def test_test_processes_never_share_a_port():
+def test_free_ports_are_unique():
     ports = [builders.free_port() for _ in range(300)]
     assert len(set(ports)) == 300
