--- a/pearrun/api/daemon.py
+++ b/pearrun/api/daemon.py
@@ -236,8 +236,8 @@
     def announce_endpoint_leaving(self, endpoint_id):
         """Announce to all daemons that an endpoint takes no new work.
 
-        Peers in this zone are told over their peer links, daemons in
-        other zones by a heartbeat, which is sent at once.
+        Peers in this zone are notified over their peer links, daemons
+        in other zones by a heartbeat, which is sent at once.
         """
         self.peers.broadcast_leaving(endpoint_id)
         self.membership.beat_now.set()
--- a/pearrun/api/journal.py
+++ b/pearrun/api/journal.py
@@ -113,7 +113,7 @@
     async def accept(self, entry):
         """Write the acceptance of a request and wait for the commit.
 
-        The caller may be told of the acceptance only after this.
+        Only then may the acceptance be reported to the caller.
 
         :param entry: an :class:`entries.Accepted`.
         :raises JournalUnavailableError: not recorded, and never run.
@@ -222,8 +222,8 @@
                 if ambiguous:
                     self.unresolved_nonces.add(nonce)
                     failure = exceptions.AmbiguousAppendError(
-                        'the log service did not say whether the request '
-                        'was recorded; this host will not run it',
+                        'unknown whether the request was recorded; '
+                        'this host will not run it',
                         retry_after_s=1,
                     )
                 return await self.fail_batch(batch, failure)
--- a/pearrun/api/lookup.py
+++ b/pearrun/api/lookup.py
@@ -52,7 +52,7 @@
 class Lookup:
     """Finds requests and follows their answers.
 
-    :param settings: the daemon's whole :class:`Settings`.
+    :param settings: the daemon's complete :class:`Settings`.
     :param log: a :class:`LogClient`.
     :param session: an :class:`aiohttp.ClientSession` for peers.
     :param dispatcher: this daemon's :class:`Dispatcher`.
--- a/tests/cluster.py
+++ b/tests/cluster.py
@@ -52,7 +52,7 @@
 def wait_until(check, timeout_s=15, what='condition'):
     """Poll ``check`` until it returns true.
 
-    :raises AssertionError: it has not within ``timeout_s``.
+    :raises AssertionError: it did not do so within ``timeout_s``.
     """
     deadline = time.monotonic() + timeout_s
     while time.monotonic() < deadline:
--- a/tests/test_journal.py
+++ b/tests/test_journal.py
@@ -85,16 +85,16 @@
     """Hosts accept requests, are paused and take each other's journals over.
 
     At the end one host takes over all other journals.  Then every request
-    whose caller was told "accepted" is unfinished on that host or
-    finished, no request whose caller was told "not run" is, and no
-    journal has been emptied by two hosts.
+    reported as accepted is finished or unfinished on that host, no
+    request reported as not run is either, and no journal has been
+    emptied by two hosts.
     """
 
     def __init__(self):
         super().__init__()
         self.loop = asyncio.new_event_loop()
         self.log = builders.FakeLog()
-        self.told = {}
+        self.outcomes = {}
         self.streams = {}
         self.run(self.begin())
 
@@ -122,13 +122,13 @@
 
     async def accept(self, host):
         request_id = journal_module.new_request_id(host.journal.stream)
-        self.told[request_id] = 'pending'
+        self.outcomes[request_id] = 'pending'
         try:
             await host.journal.accept(builders.accepted(request_id))
         except exceptions.PearrunError as exc:
-            self.told[request_id] = 'not run' if exc.not_run else 'unknown'
+            self.outcomes[request_id] = 'not run' if exc.not_run else 'unknown'
         else:
-            self.told[request_id] = 'accepted'
+            self.outcomes[request_id] = 'accepted'
 
     @stateful.rule(number=st.integers(0, HOSTS - 1), count=st.integers(1, 4))
     def accept_some(self, number, count):
@@ -212,12 +212,12 @@
             if stream != survivor.journal.stream:
                 assert state.emptied
                 self.check_emptied_once(stream)
-        for request_id, told in self.told.items():
-            if told == 'accepted':
+        for request_id, outcome in self.outcomes.items():
+            if outcome == 'accepted':
                 assert request_id in unfinished | ended
-            if told == 'not run':
+            if outcome == 'not run':
                 assert request_id not in unfinished | ended
-            assert told != 'pending'
+            assert outcome != 'pending'
 
     def check_emptied_once(self, stream):
         sealed_by = None
@@ -280,7 +280,7 @@
 
 
 def test_unresolved_acceptance_that_was_committed_is_withdrawn():
-    """The caller was told "unknown", so no host may run the request."""
+    """Its outcome was reported as unknown, so no host may run it."""
 
     async def scenario(log, journal):
         log.lose_answers = 1
