--- a/tests/test_journal.py
+++ b/tests/test_journal.py
@@ -85,8 +85,8 @@
     """Hosts accept requests, are paused and take each other's journals over.
 
     At the end one host takes over all other journals.  Then every request
-    reported as accepted is finished or unfinished on that host, no
-    request reported as not run is either, and no journal has been
+    reported as accepted is finished, or unfinished on that host; no
+    request reported as not run is either; and no journal has been
     emptied by two hosts.
     """
 
