--- a/pearrun/api/dispatcher.py
+++ b/pearrun/api/dispatcher.py
@@ -7,9 +7,9 @@
 from pearrun import exceptions
 from pearrun.api import journal as journal_module
 from pearrun.api.crashes import JobCrashTracker
-from pearrun.api.saving import describe_acceptance
-from pearrun.api.saving import describe_end
-from pearrun.api.saving import Saver
+from pearrun.api.progress import build_accepted_entry
+from pearrun.api.progress import build_finished_entry
+from pearrun.api.progress import ProgressSaver
 from pearrun.api.structures import Job
 from pearrun.clock import Clock
 from pearrun.clock import to_seconds
@@ -54,7 +54,7 @@
         self.metrics = metrics
         self.crashes = crashes or JobCrashTracker()
         self.clock = Clock()
-        self.saver = Saver(settings, journal)
+        self.saver = ProgressSaver(settings, journal)
         self.jobs = {}
         self.acceptances_by_key = {}
         self.running = {}
@@ -169,10 +169,10 @@
         :raises CapacityError: it could not be journaled.
         """
         try:
-            await self.journal.accept(describe_acceptance(job))
+            await self.journal.accept(build_accepted_entry(job))
         except exceptions.StreamSealedError:
             job.id = journal_module.new_request_id(self.journal.stream)
-            await self.journal.accept(describe_acceptance(job))
+            await self.journal.accept(build_accepted_entry(job))
 
     async def serve(self, job, service):
         """Start a job at once and journal it concurrently.
@@ -184,14 +184,14 @@
         :raises JournalUnavailableError: the queue of journal entries is
             full.
         """
-        if self.journal.full:
+        if self.journal.is_full:
             self.acceptances_by_key.pop(job.idempotency_key, None)
             raise exceptions.JournalUnavailableError(
                 'the queue of journal entries is full', retry_after_s=1
             )
         self.metrics.get_or_create(job.service).accepted += 1
         self.start(job, service)
-        append_future = self.journal.enqueue(describe_acceptance(job))
+        append_future = self.journal.enqueue(build_accepted_entry(job))
         append_future.add_done_callback(
             lambda done: update_durability(job, done)
         )
@@ -240,7 +240,7 @@
     def start(self, job, service):
         """Run a journaled job in a task of its own."""
         self.jobs[job.id] = job
-        self.saver.begin(job)
+        self.saver.record_accepted(job)
         task = asyncio.create_task(self.runner.run(job, service), name=job.id)
         self.running[job.id] = task
         task.add_done_callback(lambda done: self.end(job, done))
@@ -261,7 +261,7 @@
         :returns: a future, done once the entry is on the log.
         """
         self.schedule_removal(job)
-        return self.journal.enqueue(describe_end(job))
+        return self.journal.enqueue(build_finished_entry(job))
 
     def schedule_removal(self, job):
         """Remove a finished job after ``answer_keep_ms``."""
--- a/pearrun/api/saving.py
+++ b/pearrun/api/progress.py
@@ -1,4 +1,4 @@
-"""Keeping the journal up to date about running jobs."""
+"""Journal entries of running jobs and periodic saving of progress."""
 
 import asyncio
 
@@ -7,8 +7,8 @@
 from pearrun.clock import to_seconds
 
 
-def describe_acceptance(job):
-    """Return a job's acceptance as a journal entry."""
+def build_accepted_entry(job):
+    """Return the journal entry for a job's acceptance."""
     return entries.Accepted(
         id=job.id,
         customer=job.customer,
@@ -20,8 +20,8 @@
     )
 
 
-def describe_end(job):
-    """Return a job's final state as a journal entry."""
+def build_finished_entry(job):
+    """Return the journal entry for a job's final state."""
     return entries.Finished(
         id=job.id,
         state=job.state.value,
@@ -31,10 +31,10 @@
     )
 
 
-class Saver:
-    """Saves running jobs' progress.
+class ProgressSaver:
+    """Writes the progress of running jobs to the journal.
 
-    :param settings: the daemon's whole :class:`Settings`.
+    :param settings: the daemon's complete :class:`Settings`.
     :param journal: the daemon's :class:`Journal`.
     """
 
@@ -43,22 +43,23 @@
         self.journal = journal
         self.clock = Clock()
 
-    def begin(self, job):
-        """Note that a job's acceptance has just been journaled."""
+    def record_accepted(self, job):
+        """Record that a job's acceptance has just been journaled."""
         job.saved_ms = self.clock.now()
 
     def save(self, job):
-        """Bring the journal up to date about a running job.
+        """Write what is new about a running job to the journal.
 
-        Its acceptance is written again before the log's retention
-        drops it, and the tokens it got since the last time are added.
+        The acceptance is written again before the log's retention drops
+        it; the tokens generated since the last save are added.  Nothing
+        is written while the previous save is still under way.
         """
         if job.saving is not None and not job.saving.done():
             return
         now = self.clock.now()
         keep_ms = self.settings.platform.retention_ms // 2
         if now - job.saved_ms >= keep_ms:
-            job.saving = self.journal.enqueue(describe_acceptance(job))
+            job.saving = self.journal.enqueue(build_accepted_entry(job))
             job.saved_ms = now
             job.saved = 0
         if self.settings.host.save_progress and len(job.tokens) > job.saved:
@@ -72,10 +73,10 @@
             )
             job.saved = len(job.tokens)
 
-    async def keep_saving(self, list_jobs):
-        """Save jobs again and again, for the daemon's whole life.
+    async def save_periodically(self, list_jobs):
+        """Save the running jobs at regular intervals, until cancelled.
 
-        :param list_jobs: returns the jobs that are running.
+        :param list_jobs: a callable that returns the running jobs.
         """
         pause_ms = min(
             self.settings.host.progress_ms,
--- a/pearrun/api/shutdown.py
+++ b/pearrun/api/shutdown.py
@@ -77,7 +77,7 @@
         Waits for at most ``drain_timeout_ms``.
         """
         deadline = self.clock.now() + self.settings.host.drain_timeout_ms
-        while self.lookup.followers and self.clock.now() < deadline:
+        while self.lookup.follower_count and self.clock.now() < deadline:
             await asyncio.sleep(to_seconds(FOLLOWERS_POLL_MS))
 
     def handle_reclaim_notice(self, at_ms):
--- a/tests/test_dispatcher.py
+++ b/tests/test_dispatcher.py
@@ -6,7 +6,7 @@
 from pearrun.api import journal as journal_module
 from pearrun.api.config import ConfigFollower
 from pearrun.api.dispatcher import Dispatcher
-from pearrun.api.ledger import read_ledger
+from pearrun.api.journalstate import replay_journal
 from pearrun.api.models import CompletionBody
 from pearrun.api.router import Router
 from pearrun.metrics import MetricsTable
@@ -49,7 +49,7 @@
         tasks = [
             asyncio.create_task(journal.run()),
             asyncio.create_task(
-                dispatcher.saver.keep_saving(dispatcher.list_running)
+                dispatcher.saver.save_periodically(dispatcher.list_running)
             ),
         ]
         try:
@@ -72,7 +72,7 @@
         job = await submit(dispatcher)
         await asyncio.sleep(0.9)
         log.expire(dispatcher.journal.stream, 2)
-        return job, await read_ledger(log, dispatcher.journal.stream)
+        return job, await replay_journal(log, dispatcher.journal.stream)
 
     job, ledger = run_scenario(scenario, retention_ms=1000)
     assert set(ledger.unfinished) == {job.id}
@@ -96,7 +96,7 @@
         job = await submit(dispatcher)
         await job.wait_for_tokens(2)
         await dispatcher.hand_over()
-        return job, await read_ledger(log, dispatcher.journal.stream)
+        return job, await replay_journal(log, dispatcher.journal.stream)
 
     job, ledger = run_scenario(scenario)
     assert job.handed_over
@@ -108,7 +108,7 @@
         job = await submit(dispatcher)
         await job.wait_for_tokens(2)
         await dispatcher.hand_over()
-        ledger = await read_ledger(log, dispatcher.journal.stream)
+        ledger = await replay_journal(log, dispatcher.journal.stream)
         entry = ledger.unfinished[job.id]
         dispatcher.adopt(entry, ledger.progress[job.id])
         adopted = dispatcher.jobs[job.id]
@@ -132,11 +132,11 @@
         await log.append(old, {'batch': 'seal', 'entries': [seal]})
         job = await submit(dispatcher)
         new = dispatcher.journal.stream
-        return old, job, await read_ledger(log, new)
+        return old, job, await replay_journal(log, new)
 
     old, job, ledger = run_scenario(scenario)
     assert set(ledger.unfinished) == {job.id}
-    assert journal_module.stream_of(job.id) == ledger.stream != old
+    assert journal_module.get_journal_stream(job.id) == ledger.stream != old
 
 
 def test_request_runs_when_its_caller_disconnects_during_acceptance():
@@ -147,7 +147,7 @@
         await asyncio.sleep(0)
         acceptance.cancel()
         await asyncio.sleep(0.05)
-        ledger = await read_ledger(log, dispatcher.journal.stream)
+        ledger = await replay_journal(log, dispatcher.journal.stream)
         return set(ledger.unfinished), set(dispatcher.running)
 
     unfinished, running = run_scenario(scenario)
@@ -163,7 +163,7 @@
         was_durable = job.durable
         log.down = False
         await asyncio.sleep(0.1)
-        ledger = await read_ledger(log, dispatcher.journal.stream)
+        ledger = await replay_journal(log, dispatcher.journal.stream)
         return was_durable, job, ledger
 
     was_durable, job, ledger = run_scenario(scenario)
