--- a/benchmarks/ablation.py
+++ b/benchmarks/ablation.py
@@ -1,14 +1,16 @@
-"""Plays days with one mechanism changed at a time, and tables the worth.
+"""Ablation study: the worth of days with one mechanism changed at a time.
 
     python -m benchmarks.ablation --bench=PROGRAM --workdir=DIR \\
         --sites=SITE,SITE --days=scale-1,trouble-2 --seeds=1,2 \\
         --variants=benchmarks/mechanisms.yaml --only=hubs,urgency
 
 The bench is a program that is called as ``PROGRAM run SITE DAY --seed N``
-and keeps a journal.  For each variant the repository's HEAD is cloned into
-DIR and changed as the variants' file says: a list of pieces of text and what
-stands in their place.  A play that has a result in DIR is not repeated, so
-that a run that was broken off goes on.  ``as it is`` is the code unchanged.
+and writes a journal entry for each call.  A day is a scenario of load and
+faults, and its worth is the score that the bench gives.  For each variant,
+the repository's HEAD is cloned into DIR and the replacements listed in the
+variants file are applied to the clone.  Runs that already have a result in
+DIR are skipped, so that an interrupted study can be continued.  ``as it is``
+is the baseline, the unchanged code.
 """
 
 import concurrent.futures
@@ -31,7 +33,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Edit:
-    """A piece of a file's text and what stands in its place."""
+    """A replacement of one piece of text in a source file."""
 
     path: str
     old: str
@@ -40,20 +42,23 @@
 
 @dataclasses.dataclass(frozen=True)
 class Variant:
-    """The code with one mechanism changed."""
+    """A version of the code with one mechanism changed."""
 
     name: str
     edits: tuple[Edit, ...] = ()
 
     @property
     def slug(self):
-        """The name as part of a file's name."""
+        """The name in the form used in file names."""
         return self.name.replace(' ', '-')
 
 
 @dataclasses.dataclass(frozen=True)
-class Play:
-    """One day to be played with one variant; seed 0 is the day's own."""
+class BenchRun:
+    """A run of the bench: one day with one variant.
+
+    :param seed: the seed of the day; 0 for its default seed.
+    """
 
     variant: Variant
     site: pathlib.Path
@@ -62,17 +67,21 @@
 
     @property
     def key(self):
-        """The name of the play's result."""
+        """The name of the run's result, without a file extension."""
         return f'{self.variant.slug}.{self.site.stem}.{self.day}.{self.seed}'
 
     @property
     def base_key(self):
-        """The name of the result of the same day on the unchanged code."""
+        """The key of the same day on the unchanged code."""
         return dataclasses.replace(self, variant=Variant(UNCHANGED)).key
 
 
 def read_variants(path):
-    """Return the :class:`Variant` of a file, the unchanged one first."""
+    """Read the variants of a file.
+
+    :param path: the variants file; ``None`` for the unchanged code only.
+    :returns: a list of :class:`Variant`, the unchanged code first.
+    """
     items = yaml.safe_load(path.read_text()) if path else {}
     changed = [
         Variant(name, tuple(Edit(**edit) for edit in edits))
@@ -81,11 +90,11 @@
     return [Variant(UNCHANGED), *changed]
 
 
-def prepare(variant, workdir):
-    """Clone the repository and change it.
+def prepare_clone(variant, workdir):
+    """Clone the repository and apply the edits of a variant.
 
-    :returns: the clone's path.
-    :raises ValueError: a text to replace is not there, or more than once.
+    :returns: the path of the clone.
+    :raises ValueError: a text to be replaced does not occur exactly once.
     """
     clone = workdir / variant.slug
     if clone.exists():
@@ -95,92 +104,99 @@
         path = clone / edit.path
         text = path.read_text()
         if text.count(edit.old) != 1:
-            raise ValueError(f'{variant.name}: {edit.path}: {edit.old!r}')
+            raise ValueError(
+                f'{variant.name}: text must occur exactly once in '
+                f'{edit.path}: {edit.old!r}'
+            )
         path.write_text(text.replace(edit.old, edit.new))
     return clone
 
 
-def play(item, workdir):
-    """Play one day, unless its result is there.
+def run_day(run, workdir):
+    """Run one day, unless it already has a result.
 
-    :returns: the :class:`worth.Day`, or ``None`` where it failed.
+    :returns: the :class:`worth.DayResult`, or ``None`` if the run failed.
     """
-    result = workdir / f'{item.key}.json'
+    result = workdir / f'{run.key}.json'
     if not result.exists():
-        run_bench(item, workdir / item.variant.slug, result)
+        run_bench(run, workdir / run.variant.slug, result)
     days = worth.read_days(result) if result.stat().st_size else []
     return days[0] if days else None
 
 
-def run_bench(item, clone, result):
-    """Have the bench play a day; keep its journal entry as the result."""
-    command = [FLAGS.bench, 'run', str(item.site.resolve()), item.day]
-    if item.seed:
-        command += ['--seed', str(item.seed)]
+def run_bench(run, clone, result):
+    """Call the bench; save its journal entry as the result."""
+    command = [FLAGS.bench, 'run', str(run.site.resolve()), run.day]
+    if run.seed:
+        command += ['--seed', str(run.seed)]
     if not FLAGS.charge_cpu:
         command.append('--no-cpu')
-    why = f'{FLAGS.why}: {item.variant.name}'
+    why = f'{FLAGS.why}: {run.variant.name}'
     command += ['--why', why]
-    done = subprocess.run(
+    completed = subprocess.run(
         command, cwd=clone, capture_output=True, text=True, check=False
     )
-    lines = done.stdout.split()
-    result.with_suffix('.txt').write_text(done.stdout + done.stderr)
-    found = sorted((clone / 'journal').glob(f'*-{lines[-1]}.json'))
+    words = completed.stdout.split()
+    result.with_suffix('.txt').write_text(completed.stdout + completed.stderr)
+    found = sorted((clone / 'journal').glob(f'*-{words[-1]}.json'))
     result.write_text(found[0].read_text() if found else '')
 
 
-def render(plays, results):
-    """Return a table: a row a site and variant, with its spread."""
+def render_table(runs, results):
+    """Return the lines of a table with one row per site and variant.
+
+    The spread is the standard deviation of the change over the runs.
+    """
     lines = [
         '| site | variant | worth | against as it is | spread | served '
         '| refused | rules broken |',
         '|---|---|---|---|---|---|---|---|',
     ]
     groups = {}
-    for item in plays:
-        key = (item.site.stem, item.variant.name)
-        groups.setdefault(key, []).append(item)
+    for run in runs:
+        key = (run.site.stem, run.variant.name)
+        groups.setdefault(key, []).append(run)
     for (site, name), items in groups.items():
-        days = [results[item.key] for item in items]
-        base = [results[item.base_key] for item in items]
-        lines.append(render_row(site, name, days, base))
+        days = [results[run.key] for run in items]
+        baseline = [results[run.base_key] for run in items]
+        lines.append(render_row(site, name, days, baseline))
     return lines
 
 
-def render_row(site, name, days, base):
-    """Return a row; days that failed on either side are left out."""
-    pairs = [(day, old) for day, old in zip(days, base, strict=True)]
+def render_row(site, name, days, baseline):
+    """Return a table row; days without both results are left out."""
+    pairs = [(day, old) for day, old in zip(days, baseline, strict=True)]
     pairs = [(day, old) for day, old in pairs if day and old]
     if not pairs:
-        return f'| {site} | {name} | not played | | | | | |'
+        return f'| {site} | {name} | no results | | | | | |'
     changes = [day.worth - old.worth for day, old in pairs]
     spread = statistics.stdev(changes) if len(changes) > 1 else 0.0
     days = [day for day, _ in pairs]
     return (
-        f'| {site} | {name} | {mean(days, "worth"):.3f} '
+        f'| {site} | {name} | {compute_mean(days, "worth"):.3f} '
         f'| {statistics.fmean(changes):+.3f} | {spread:.3f} '
-        f'| {mean(days, "served"):.3f} | {mean(days, "refused"):.3f} '
+        f'| {compute_mean(days, "served"):.3f} '
+        f'| {compute_mean(days, "refused"):.3f} '
         f'| {sum(day.broken for day in days)} of {len(days)} |'
     )
 
 
-def plot(plays, results, path):
-    """Draw what each variant changes: a panel a site, a point a play."""
-    sites = list(dict.fromkeys(item.site.stem for item in plays))
-    names = list(dict.fromkeys(item.variant.name for item in plays))
+def plot_changes(runs, results, path):
+    """Plot the changes: one panel per site, one row per variant."""
+    sites = list(dict.fromkeys(run.site.stem for run in runs))
+    names = list(dict.fromkeys(run.variant.name for run in runs))
     names.remove(UNCHANGED)
     size = (4 * len(sites) + 3, 0.3 * len(names) + 1)
     figure, panels = pyplot.subplots(
         1, len(sites), sharey=True, figsize=size, squeeze=False
     )
     for panel, site in zip(panels[0], sites, strict=True):
-        for item in plays:
-            if item.site.stem != site or item.variant.name == UNCHANGED:
+        for run in runs:
+            if run.site.stem != site or run.variant.name == UNCHANGED:
                 continue
-            change = change_of(item, results)
+            change = compute_change(run, results)
             if change is not None:
-                panel.plot(change, names.index(item.variant.name), 'ko')
+                panel.plot(change, names.index(run.variant.name), 'ko')
         panel.axvline(0.0, color='grey')
         panel.set_title(site)
         panel.set_xlabel('change of worth')
@@ -189,19 +205,19 @@
     figure.savefig(path)
 
 
-def change_of(item, results):
-    """Return what a play's variant changes; ``None`` if one failed."""
-    day, old = results[item.key], results[item.base_key]
+def compute_change(run, results):
+    """Return the change of the worth; ``None`` if either run failed."""
+    day, old = results[run.key], results[run.base_key]
     return day.worth - old.worth if day and old else None
 
 
-def mean(days, field):
-    """Return the mean of a field of days."""
+def compute_mean(days, field):
+    """Return the mean of a field over several days."""
     return statistics.fmean(getattr(day, field) for day in days)
 
 
 def main(argv):
-    """Play what is missing and print the table."""
+    """Run what has no result yet and print the table."""
     del argv
     workdir = pathlib.Path(FLAGS.workdir).resolve()
     workdir.mkdir(parents=True, exist_ok=True)
@@ -212,34 +228,36 @@
         if not FLAGS.only or variant.name in (UNCHANGED, *FLAGS.only)
     ]
     for variant in variants:
-        prepare(variant, workdir)
-    plays = [
-        Play(variant, pathlib.Path(site), day, int(seed))
+        prepare_clone(variant, workdir)
+    runs = [
+        BenchRun(variant, pathlib.Path(site), day, int(seed))
         for site in FLAGS.sites
         for variant in variants
         for day in FLAGS.days
         for seed in FLAGS.seeds
     ]
     with concurrent.futures.ThreadPoolExecutor(FLAGS.jobs) as pool:
-        days = list(pool.map(lambda item: play(item, workdir), plays))
-    results = {item.key: day for item, day in zip(plays, days, strict=True)}
-    print('\n'.join(render(plays, results)))
+        days = list(pool.map(lambda run: run_day(run, workdir), runs))
+    results = {run.key: day for run, day in zip(runs, days, strict=True)}
+    print('\n'.join(render_table(runs, results)))
     summary = {key: vars(day) if day else None for key, day in results.items()}
     (workdir / 'summary.json').write_text(json.dumps(summary, indent=1))
     if FLAGS.plot:
-        plot(plays, results, FLAGS.plot)
+        plot_changes(runs, results, FLAGS.plot)
 
 
 if __name__ == '__main__':
-    flags.DEFINE_string('bench', None, 'The bench program.', required=True)
-    flags.DEFINE_string('workdir', None, 'Clones, results.', required=True)
+    flags.DEFINE_string(
+        'bench', None, 'Path of the bench program.', required=True
+    )
+    flags.DEFINE_string('workdir', None, 'Clones and results.', required=True)
     flags.DEFINE_list('sites', None, 'Site files.', required=True)
-    flags.DEFINE_list('days', ['scale-2', 'trouble-2'], 'Days by name.')
-    flags.DEFINE_list('seeds', ['0'], 'Seeds; 0 is the day as it is.')
+    flags.DEFINE_list('days', ['scale-2', 'trouble-2'], 'Names of days.')
+    flags.DEFINE_list('seeds', ['0'], 'Seeds; 0 for the default seed.')
     flags.DEFINE_string('variants', None, 'YAML file of variants.')
-    flags.DEFINE_list('only', [], 'Variants to play; empty: all.')
-    flags.DEFINE_string('plot', None, 'Draw the changes into this file.')
-    flags.DEFINE_integer('jobs', 4, 'Plays at a time.')
-    flags.DEFINE_boolean('charge_cpu', False, 'Charge processor time.')
-    flags.DEFINE_string('why', 'Ablation', 'The journal entries\' "why".')
+    flags.DEFINE_list('only', [], 'Variants to run; empty: all.')
+    flags.DEFINE_string('plot', None, 'Plot the changes to this file.')
+    flags.DEFINE_integer('jobs', 4, 'Number of parallel runs.')
+    flags.DEFINE_boolean('charge_cpu', False, 'Charge CPU time.')
+    flags.DEFINE_string('why', 'Ablation', '"why" of journal entries.')
     absl_app.run(main)
--- a/benchmarks/worth.py
+++ b/benchmarks/worth.py
@@ -1,10 +1,11 @@
-"""Tables of what journal entries say days were worth.
-
-``python -m benchmarks.worth ENTRY...`` prints a Markdown table, a row a
-day: worth, shares served, refused and failed, the parts of the worth and
-the prices taken off.  An entry is a file of ``journal/`` or its id.
-``--compare=ENTRY`` prints instead how days of the same name and seed differ
-from that entry's.
+"""Tables of the results in the bench's journal.
+
+``python -m benchmarks.worth ENTRY...`` prints a Markdown table with one row
+per day, which is a scenario of the bench: its worth (the score), the shares
+of calls served, refused and failed, the components of the worth, and the
+deductions from it (prices).  An entry is a file in ``journal/`` or its id.
+With ``--compare=ENTRY``, the differences from the days of the same name in
+that entry are printed instead.
 """
 
 import dataclasses
@@ -17,16 +18,18 @@
 
 FLAGS = flags.FLAGS
 JOURNAL = pathlib.Path('journal')
-# Prices below this part of a day's worth are left out of the tables.
-LEAST_PRICE = 0.004
+# Prices below this are left out of the tables.
+MIN_PRICE_SHARE = 0.004
 
 
 @dataclasses.dataclass(frozen=True)
-class Day:
-    """What one played day was worth.
+class DayResult:
+    """The result of one day.
 
-    :param parts: share of the credit served, by part of the worth.
-    :param prices: what was taken off, by name.
+    :param worth: the score of the day, ``G`` in the journal.
+    :param broken: number of rules that were broken.
+    :param parts: share of the credit earned, by component of the worth.
+    :param prices: deductions from the worth, by name.
     """
 
     entry: str
@@ -43,8 +46,8 @@
 def find_entry(name):
     """Return the path of a journal entry.
 
-    :param name: a path or an id.
-    :raises FileNotFoundError: there is none.
+    :param name: the path or the id of the entry.
+    :raises FileNotFoundError: there is no such entry.
     """
     path = pathlib.Path(name)
     if path.exists():
@@ -55,10 +58,10 @@
 
 
 def read_days(path):
-    """Return the :class:`Day` of each day of a journal entry."""
+    """Return the :class:`DayResult` of each scored day of an entry."""
     entry = json.loads(path.read_text())
     return [
-        Day(
+        DayResult(
             entry=entry['id'],
             name=day['name'],
             worth=day['G'],
@@ -75,11 +78,13 @@
 
 
 def render_day(day):
-    """Return a table row of one day."""
+    """Return the table row of one day."""
     parts = ' '.join(f'{share:.2f}' for share in day.parts.values())
-    dearest = sorted(day.prices.items(), key=lambda item: -item[1])
+    by_price = sorted(day.prices.items(), key=lambda item: -item[1])
     prices = ', '.join(
-        f'{name} {part:.3f}' for name, part in dearest if part >= LEAST_PRICE
+        f'{name} {part:.3f}'
+        for name, part in by_price
+        if part >= MIN_PRICE_SHARE
     )
     return (
         f'| {day.entry} | {day.name} | {day.worth:.3f} | {day.served:.3f} '
@@ -89,7 +94,7 @@
 
 
 def render_table(days):
-    """Return the lines of a table of days, and of their mean."""
+    """Return the lines of a table of days."""
     parts = ', '.join(days[0].parts) if days else ''
     lines = [
         f'| entry | day | worth | served | refused | failed | rules broken '
@@ -101,25 +106,25 @@
 
 
 def render_means(days):
-    """Return a line with the means over days that held trouble."""
-    troubled = [day for day in days if is_troubled(day.name)]
-    if not troubled:
-        return 'no day with trouble'
-    worth = statistics.fmean(day.worth for day in troubled)
-    served = statistics.fmean(day.served for day in troubled)
+    """Return a line with the means over the days with faults."""
+    faulted = [day for day in days if has_faults(day.name)]
+    if not faulted:
+        return 'no day with faults'
+    worth = statistics.fmean(day.worth for day in faulted)
+    served = statistics.fmean(day.served for day in faulted)
     return (
-        f'mean of {len(troubled)} days with trouble: '
+        f'mean of {len(faulted)} days with faults: '
         f'worth {worth:.3f}, served {served:.3f}'
     )
 
 
-def is_troubled(name):
-    """Say whether a day is a standard one with disruptions."""
+def has_faults(name):
+    """Return whether a day has faults, judging by its name."""
     return not name.startswith(('quiet', 'fresh'))
 
 
 def render_differences(days, before):
-    """Return a line for each day that both lists hold."""
+    """Return a line for each day that is in both lists."""
     known = {day.name: day for day in before}
     lines = []
     for day in days:
@@ -135,7 +140,7 @@
 
 
 def main(argv):
-    """Print the table."""
+    """Print the table or the differences."""
     days = [day for name in argv[1:] for day in read_days(find_entry(name))]
     if FLAGS.compare:
         before = read_days(find_entry(FLAGS.compare))
@@ -146,5 +151,5 @@
 
 
 if __name__ == '__main__':
-    flags.DEFINE_string('compare', None, 'An entry to compare days with.')
+    flags.DEFINE_string('compare', None, 'The entry to compare with.')
     absl_app.run(main)
