--- a/benchmarks/placement.py
+++ b/benchmarks/placement.py
@@ -1,12 +1,12 @@
-"""Play the choice of endpoints in fleets of several sizes.
+"""Simulation of placement in fleets of several sizes.
 
-Hosts choose endpoints by :mod:`pearrun.decisions.placement` from what they
-know of each other's calls: their own at once, those of their zone and of the
-other zones by way of hubs, some rounds late.  Engines read prompts in chunks
-between the steps of the calls that they run.  Nothing else of the system is
-played; time is simulated.  Prints, by the number of hosts, the share of
-calls whose first token came late, the 95th percentile of the time to it, and
-the share of prompt tokens found cached:
+Hosts choose endpoints with :mod:`pearrun.decisions.placement`.  They know
+their own calls immediately, and those of other hosts from reports, which in
+large fleets arrive through hubs with a delay of several rounds.  Engines use
+continuous batching with chunked prefill.  Nothing else of the system is
+simulated.  Prints for each number of hosts the fraction of calls whose first
+token was late, the 95th percentile of the time to first token, and the
+fraction of prompt tokens that were cached:
 
     python -m benchmarks.placement --hosts=9,83,195,320 --load=reconcile
 """
@@ -30,17 +30,20 @@
 from pearrun.shared.selection import LARGE_TOKENS
 
 FLAGS = flags.FLAGS
-flags.DEFINE_list('hosts', ['9', '83', '195', '320'], 'numbers of hosts')
-flags.DEFINE_list('load', ['reconcile', 'fault-desk'], 'loads to play')
+flags.DEFINE_list(
+    'hosts', ['9', '83', '195', '320'], 'fleet sizes to simulate'
+)
+flags.DEFINE_list('load', ['reconcile', 'fault-desk'], 'workloads to simulate')
 flags.DEFINE_integer('seconds', 20, 'simulated seconds')
-flags.DEFINE_integer('seed', 1, 'seed of all draws')
-flags.DEFINE_bool('spread', True, 'whether unseen work is reckoned with')
-flags.DEFINE_float('fill', 1.0, 'factor on the rate of calls')
+flags.DEFINE_integer('seed', 1, 'seed of the simulated calls')
+flags.DEFINE_bool('spread', True, 'account for unreported load')
+flags.DEFINE_float('fill', 1.0, 'factor applied to call rates')
 
+# Interval at which hosts report and hubs aggregate.
 ROUND_MS = 200.0
-# Calls before this time only warm up the caches.
-WARM_MS = 4000.0
-# Time that a call takes, as hosts reckon.
+# Calls before this time only fill the caches and are not counted.
+WARMUP_MS = 4000.0
+# The hosts' estimate of the duration of a call.
 ANSWER_MS = 1000.0
 
 
@@ -48,45 +51,54 @@
 class CallKind:
     """One kind of call.
 
-    :param per_s: calls a second.
-    :param tokens: mean of a prompt's own tokens, spread like ``spread``.
-    :param shared: mean tokens of the part that a subject's calls share.
-    :param subjects: how many subjects there are.
-    :param output: mean tokens of an answer.
-    :param target_ms: time in which the first token is due.
+    :param calls_per_s: arrival rate.
+    :param own_tokens: mean length of the part of a prompt that is not shared.
+    :param sigma: sigma of the lognormal distribution of these lengths.
+    :param max_own_tokens: upper bound of these lengths.
+    :param shared_tokens: mean length of the prefix shared by all calls on one
+        subject.
+    :param subjects: number of subjects.
+    :param output_tokens: mean length of an answer.
+    :param target_ms: latency target of the first token.
     """
 
     name: str
-    per_s: float
-    tokens: float
-    spread: float
-    most_tokens: int
-    shared: float
+    calls_per_s: float
+    own_tokens: float
+    sigma: float
+    max_own_tokens: int
+    shared_tokens: float
     subjects: int
-    output: float
+    output_tokens: float
     target_ms: float
 
 
 @dataclasses.dataclass(frozen=True)
 class Engine:
-    """What an engine does in a step.
-
-    :param step_ms: milliseconds of a step, and those for each call in it.
-    :param tokens_per_ms: prompt tokens read in a millisecond.
+    """Capacity and speed of an engine.
+
+    :param slots: maximum number of calls in a batch.
+    :param step_ms: duration of a step with an empty batch.
+    :param per_call_ms: additional duration for each decoding call.
+    :param tokens_per_ms: prefill rate.
+    :param chunk_tokens: maximum number of prompt tokens prefilled per step.
+    :param prefill_overhead_ms: additional prefill time of each prompt.
+    :param cache_tokens: capacity of the prefix cache, in which a prefix takes
+        twice its tokens.
     """
 
     slots: int
     step_ms: float
-    call_ms: float
+    per_call_ms: float
     tokens_per_ms: float
-    chunk: int
-    first_ms: float
-    memory: int
+    chunk_tokens: int
+    prefill_overhead_ms: float
+    cache_tokens: int
 
 
 @dataclasses.dataclass(frozen=True)
-class Load:
-    """Calls, the endpoints that serve them, and zones."""
+class Workload:
+    """Kinds of calls, and the engines and zones that serve them."""
 
     kinds: tuple[CallKind, ...]
     engine: Engine
@@ -94,8 +106,8 @@
     zones: int
 
 
-LOADS = {
-    'reconcile': Load(
+WORKLOADS = {
+    'reconcile': Workload(
         (
             CallKind('long', 105, 6610, 1.4, 54600, 4870, 723, 380, 645),
             CallKind('draft', 91, 628, 1.0, 3310, 120, 1406, 290, 819),
@@ -105,7 +117,7 @@
         endpoints=60,
         zones=4,
     ),
-    'fault-desk': Load(
+    'fault-desk': Workload(
         (
             CallKind('long', 70.9, 6610, 1.4, 54600, 4870, 546, 380, 1023),
             CallKind('query', 264, 1800, 1.3, 6870, 341, 2038, 22, 511),
@@ -119,93 +131,117 @@
 
 @dataclasses.dataclass
 class Call:
-    """A call on its way."""
+    """A simulated call.
+
+    :param host: number of the host that received it.
+    :param part: the shared prefix of its prompt.
+    :param arrived_ms: time of its arrival.
+    :param tokens: prompt tokens, including the shared prefix.
+    :param output_left: tokens still to be generated.
+    :param uncached_tokens: prompt tokens that the host expects to be
+        prefilled.
+    :param prefill_left: prompt tokens that the engine still has to prefill.
+    :param first_token_ms: time to first token; ``None`` before it.
+    """
 
     kind: CallKind
     host: int
     part: PromptPart
-    came_ms: float
+    arrived_ms: float
     tokens: int
-    output: int
-    fresh: int = 0
-    unread: float = 0.0
-    first_ms: float | None = None
+    output_left: int
+    uncached_tokens: int = 0
+    prefill_left: float = 0.0
+    first_token_ms: float | None = None
 
 
 class EngineState:
-    """One engine: what it runs, reads, keeps waiting and has cached."""
+    """One engine: its queue, its batch and its prefix cache.
+
+    Calls in ``prefilling`` and ``decoding`` occupy slots.
+    """
 
     def __init__(self, settings):
         self.settings = settings
-        self.running = []
-        self.reading = collections.deque()
-        self.waiting = collections.deque()
+        self.decoding = []
+        self.prefilling = collections.deque()
+        self.queue = collections.deque()
         self.cache = collections.OrderedDict()
-        self.cached_tokens = 0
+        self.used_tokens = 0
         self.busy = False
 
     def accept(self, call):
-        """Take a call; it waits while all slots are taken."""
-        self.waiting.append(call)
+        """Accept a call; it is queued while all slots are occupied."""
+        self.queue.append(call)
         self._admit()
 
     def _admit(self):
         while (
-            self.waiting
-            and len(self.running) + len(self.reading) < self.settings.slots
+            self.queue
+            and len(self.decoding) + len(self.prefilling) < self.settings.slots
         ):
-            call = self.waiting.popleft()
-            cached = call.part.tokens if self._use(call.part) else 0
-            call.unread = call.tokens - cached
-            call.unread += self.settings.first_ms * self.settings.tokens_per_ms
-            self.reading.append(call)
-
-    def _use(self, part):
-        """Note a part's use; say whether it was cached."""
-        known = part.id in self.cache
-        if known:
+            call = self.queue.popleft()
+            cached = call.part.tokens if self._touch(call.part) else 0
+            call.prefill_left = call.tokens - cached
+            call.prefill_left += (
+                self.settings.prefill_overhead_ms * self.settings.tokens_per_ms
+            )
+            self.prefilling.append(call)
+
+    def _touch(self, part):
+        """Record the use of a prefix; return whether it was cached."""
+        is_cached = part.id in self.cache
+        if is_cached:
             self.cache.move_to_end(part.id)
             return True
         self.cache[part.id] = part.tokens
-        self.cached_tokens += part.tokens * 2
-        while self.cached_tokens > self.settings.memory:
+        self.used_tokens += part.tokens * 2
+        while self.used_tokens > self.settings.cache_tokens:
             _, tokens = self.cache.popitem(last=False)
-            self.cached_tokens -= tokens * 2
+            self.used_tokens -= tokens * 2
         return False
 
     def step(self):
-        """Do one step.
+        """Execute one step.
 
-        :returns: ``(milliseconds, calls whose first token came, ended)``.
+        :returns: ``(duration in ms, calls with their first token, completed
+            calls)``.
         """
         settings = self.settings
-        step_ms = settings.step_ms + settings.call_ms * len(self.running)
-        left = settings.chunk
-        first = []
-        while self.reading and left > 0:
-            call = self.reading[0]
-            read = min(left, call.unread)
-            call.unread -= read
-            left -= read
-            if call.unread <= 0:
-                first.append(self.reading.popleft())
-        step_ms += (settings.chunk - left) / settings.tokens_per_ms
-        ended = []
-        for call in self.running:
-            call.output -= 1
-            if call.output <= 0:
-                ended.append(call)
-        if ended:
-            self.running = [call for call in self.running if call.output > 0]
-        self.running.extend(first)
+        step_ms = settings.step_ms + settings.per_call_ms * len(self.decoding)
+        left = settings.chunk_tokens
+        prefilled = []
+        while self.prefilling and left > 0:
+            call = self.prefilling[0]
+            tokens = min(left, call.prefill_left)
+            call.prefill_left -= tokens
+            left -= tokens
+            if call.prefill_left <= 0:
+                prefilled.append(self.prefilling.popleft())
+        step_ms += (settings.chunk_tokens - left) / settings.tokens_per_ms
+        completed = []
+        for call in self.decoding:
+            call.output_left -= 1
+            if call.output_left <= 0:
+                completed.append(call)
+        if completed:
+            self.decoding = [
+                call for call in self.decoding if call.output_left > 0
+            ]
+        self.decoding.extend(prefilled)
         self._admit()
-        return step_ms, first, ended
+        return step_ms, prefilled, completed
 
 
 class Reports:
-    """What hosts know of each other's calls: sums by zone, rounds old.
+    """What hosts know of each other's calls from their latest reports.
 
-    :param zones: number of zones; host ``h`` is in zone ``h % zones``.
+    A report is a list with the number of calls for each endpoint, followed by
+    the queued prompt tokens for each endpoint.
+
+    :param hosts: number of hosts; host ``h`` is in zone ``h % zones``.
+    :param zones: number of zones.
+    :param endpoints: number of endpoints.
     """
 
     def __init__(self, hosts, zones, endpoints):
@@ -214,39 +250,39 @@
         self.endpoints = endpoints
         self.mesh = hosts <= MAX_MESH_HOSTS
         self.own = [self._empty() for _ in range(hosts)]
-        self.told = [self._empty() for _ in range(hosts)]
+        self.sent = [self._empty() for _ in range(hosts)]
         self.sums = [self._empty() for _ in range(zones)]
         self.covered = [self._empty() for _ in range(hosts)]
-        self.passed = [
+        self.forwarded = [
             [self._empty() for _ in range(zones)] for _ in range(zones)
         ]
 
     def _empty(self):
         return [0] * (2 * self.endpoints)
 
-    def tell(self, host):
-        """Have a host report what it has under way."""
-        self.told[host] = list(self.own[host])
+    def send(self, host):
+        """Send the report of a host."""
+        self.sent[host] = list(self.own[host])
 
-    def sum_up(self, zone):
-        """Have a zone's hub sum up its zone and pass on the others' sums."""
+    def aggregate(self, zone):
+        """Have a zone's hub sum up its zone and forward all zones' sums."""
         members = range(zone, self.hosts, self.zones)
         self.sums[zone] = [
             sum(column)
-            for column in zip(*(self.told[h] for h in members), strict=True)
+            for column in zip(*(self.sent[h] for h in members), strict=True)
         ]
         for host in members:
-            self.covered[host] = self.told[host]
-        self.passed[zone] = list(self.sums)
+            self.covered[host] = self.sent[host]
+        self.forwarded[zone] = list(self.sums)
 
-    def look(self, host):
-        """Return calls and reading tokens by endpoint, as a host sees them."""
+    def view(self, host):
+        """Return the load of all endpoints as known to a host."""
         if self.mesh:
-            others = [t for h, t in enumerate(self.told) if h != host]
-            view = [sum(column) for column in zip(*others, strict=True)]
+            others = [r for h, r in enumerate(self.sent) if h != host]
+            sums = [sum(column) for column in zip(*others, strict=True)]
             own = self.own[host]
-            return [a + b for a, b in zip(view, own, strict=True)]
-        columns = zip(*self.passed[host % self.zones], strict=True)
+            return [a + b for a, b in zip(sums, own, strict=True)]
+        columns = zip(*self.forwarded[host % self.zones], strict=True)
         return [
             max(0, sum(column) - covered) + own
             for column, covered, own in zip(
@@ -255,190 +291,250 @@
         ]
 
 
-class Play:
-    """One play of a load on a number of hosts.
+class Simulation:
+    """Discrete-event simulation of a workload in a fleet.
 
-    :param fill: factor on the rate of calls.
-    :param spread: whether hosts reckon with what they have not heard of.
+    :param workload: the :class:`Workload`.
+    :param hosts: number of hosts.
+    :param rate_factor: factor applied to call rates.
+    :param use_unreported: whether placement accounts for unreported load.
     """
 
-    def __init__(self, load, hosts, seed=1, fill=1.0, spread=True):
-        self.load = load
-        self.spread = spread
-        self.fill = fill
+    def __init__(
+        self, workload, hosts, seed=1, rate_factor=1.0, use_unreported=True
+    ):
+        self.workload = workload
+        self.use_unreported = use_unreported
+        self.rate_factor = rate_factor
         self.random = random.Random(seed)
-        self.reports = Reports(hosts, load.zones, load.endpoints)
+        self.reports = Reports(hosts, workload.zones, workload.endpoints)
         self.hosts = hosts
         self.engines = [
-            EngineState(load.engine) for _ in range(load.endpoints)
+            EngineState(workload.engine) for _ in range(workload.endpoints)
         ]
-        self.names = [f'i-{n:04d}' for n in range(load.endpoints)]
+        self.endpoint_ids = [f'i-{n:04d}' for n in range(workload.endpoints)]
         self.prefixes = PrefixIndex()
         self.model = EngineModel(
-            load.engine.tokens_per_ms * 0.85, load.engine.first_ms, 100.0
+            workload.engine.tokens_per_ms * 0.85,
+            workload.engine.prefill_overhead_ms,
+            100.0,
         )
         self.settings = placement.PlacementSettings()
         self.parts = {}
         self.events = []
-        self.order = itertools.count()
+        self.event_ids = itertools.count()
         self.calls = []
-        self.now = 0.0
+        self.now_ms = 0.0
 
-    def at(self, when_ms, action, *args):
-        """Have something happen at a time."""
-        heapq.heappush(self.events, (when_ms, next(self.order), action, args))
+    def schedule(self, due_ms, action, *args):
+        """Schedule an action."""
+        heapq.heappush(
+            self.events, (due_ms, next(self.event_ids), action, args)
+        )
 
     def run(self, seconds):
-        """Play; return the calls that came after the warm-up."""
-        for kind in self.load.kinds:
-            self.at(0.0, self._come, kind)
+        """Run the simulation.
+
+        :param seconds: its duration in simulated time.
+        :returns: the calls that arrived after the warm-up and long enough
+            before the end to receive their first token.
+        """
+        for kind in self.workload.kinds:
+            self.schedule(0.0, self._create_call, kind)
         for host in range(self.hosts):
-            self.at(self.random.uniform(0, ROUND_MS), self._round, host)
-        for zone in range(self.load.zones):
-            self.at(self.random.uniform(0, ROUND_MS), self._hub_round, zone)
-        while self.events and self.now < seconds * 1000.0:
-            self.now, _, action, args = heapq.heappop(self.events)
+            self.schedule(
+                self.random.uniform(0, ROUND_MS), self._send_report, host
+            )
+        for zone in range(self.workload.zones):
+            self.schedule(
+                self.random.uniform(0, ROUND_MS), self._aggregate_zone, zone
+            )
+        while self.events and self.now_ms < seconds * 1000.0:
+            self.now_ms, _, action, args = heapq.heappop(self.events)
             action(*args)
-        latest = seconds * 1000.0 - 2500.0
-        return [c for c in self.calls if WARM_MS < c.came_ms < latest]
+        last_arrival_ms = seconds * 1000.0 - 2500.0
+        return [
+            c for c in self.calls if WARMUP_MS < c.arrived_ms < last_arrival_ms
+        ]
 
-    def _round(self, host):
-        self.reports.tell(host)
-        self.at(self.now + ROUND_MS, self._round, host)
+    def _send_report(self, host):
+        self.reports.send(host)
+        self.schedule(self.now_ms + ROUND_MS, self._send_report, host)
 
-    def _hub_round(self, zone):
-        self.reports.sum_up(zone)
-        self.at(self.now + ROUND_MS, self._hub_round, zone)
+    def _aggregate_zone(self, zone):
+        self.reports.aggregate(zone)
+        self.schedule(self.now_ms + ROUND_MS, self._aggregate_zone, zone)
 
-    def _come(self, kind):
-        rate = kind.per_s * self.fill
+    def _create_call(self, kind):
+        rate = kind.calls_per_s * self.rate_factor
         gap_ms = self.random.expovariate(rate) * 1000.0
-        self.at(self.now + gap_ms, self._come, kind)
-        own = draw(self.random, kind.tokens, kind.spread, kind.most_tokens)
+        self.schedule(self.now_ms + gap_ms, self._create_call, kind)
+        own_tokens = draw_tokens(
+            self.random, kind.own_tokens, kind.sigma, kind.max_own_tokens
+        )
         part = self._draw_part(kind)
-        output = draw(self.random, kind.output, 0.5, kind.output * 4)
+        output_tokens = draw_tokens(
+            self.random, kind.output_tokens, 0.5, kind.output_tokens * 4
+        )
         host = self.random.randrange(self.hosts)
-        call = Call(kind, host, part, self.now, own + part.tokens, output)
+        call = Call(
+            kind,
+            host,
+            part,
+            self.now_ms,
+            own_tokens + part.tokens,
+            output_tokens,
+        )
         self.calls.append(call)
-        self._place(call)
+        self._place_call(call)
 
     def _draw_part(self, kind):
         key = f'{kind.name}-{self.random.randrange(kind.subjects)}'
         if key not in self.parts:
-            tokens = draw(self.random, kind.shared, 0.7, kind.shared * 3)
+            tokens = draw_tokens(
+                self.random, kind.shared_tokens, 0.7, kind.shared_tokens * 3
+            )
             self.parts[key] = PromptPart(key, tokens)
         return self.parts[key]
 
-    def _place(self, call):
-        view = self.reports.look(call.host)
-        cached = self.prefixes.find_cached([call.part], self.now)
-        count = self.load.endpoints
-        zone = call.host % self.load.zones
+    def _place_call(self, call):
+        loads = self.reports.view(call.host)
+        cached = self.prefixes.find_cached([call.part], self.now_ms)
+        count = self.workload.endpoints
+        zone = call.host % self.workload.zones
         candidates = [
             placement.Candidate(
-                self.names[n],
-                n % self.load.zones == zone,
-                self.load.engine.slots,
-                view[n],
-                view[count + n],
-                cached.get(self.names[n], 0),
+                self.endpoint_ids[n],
+                n % self.workload.zones == zone,
+                self.workload.engine.slots,
+                loads[n],
+                loads[count + n],
+                cached.get(self.endpoint_ids[n], 0),
             )
             for n in range(count)
         ]
-        demand = self._describe(call)
+        demand = self._make_demand(call)
         best, _ = placement.choose(
-            candidates, demand, self.model, self.settings, self._unseen()
+            candidates,
+            demand,
+            self.model,
+            self.settings,
+            self._estimate_unreported(),
         )
-        number = self.names.index(best.id)
-        call.fresh = max(0, call.tokens - best.cached_tokens)
+        number = self.endpoint_ids.index(best.id)
+        call.uncached_tokens = max(0, call.tokens - best.cached_tokens)
         own = self.reports.own[call.host]
         own[number] += 1
-        own[count + number] += call.fresh
-        if call.fresh >= LARGE_TOKENS:
-            self.reports.tell(call.host)
-        self.at(self.now + 300.0, self._note_placed, best.id, call.part)
-        self.at(self.now + 2.0, self._arrive, call, number)
-
-    def _unseen(self):
-        """Return the :class:`UnreportedLoad` work of the other hosts."""
-        if not self.spread or self.reports.mesh:
+        own[count + number] += call.uncached_tokens
+        if call.uncached_tokens >= LARGE_TOKENS:
+            self.reports.send(call.host)
+        self.schedule(
+            self.now_ms + 300.0, self._note_placed, best.id, call.part
+        )
+        self.schedule(self.now_ms + 2.0, self._deliver, call, number)
+
+    def _estimate_unreported(self):
+        """Return the :class:`UnreportedLoad` of the other hosts."""
+        if not self.use_unreported or self.reports.mesh:
             return placement.NO_UNREPORTED_LOAD
-        kinds = self.load.kinds
-        share = self.fill * (1 - 1 / self.hosts)
+        kinds = self.workload.kinds
+        share = self.rate_factor * (1 - 1 / self.hosts)
         tokens = sum(
-            kind.per_s * (kind.tokens + kind.shared) for kind in kinds
+            kind.calls_per_s * (kind.own_tokens + kind.shared_tokens)
+            for kind in kinds
         )
         others = Demand(
-            busy=share * sum(kind.per_s for kind in kinds) * ANSWER_MS / 1000,
+            busy=share
+            * sum(kind.calls_per_s for kind in kinds)
+            * ANSWER_MS
+            / 1000,
             tokens_per_s=share * tokens,
         )
         return placement.estimate_unreported_load(
             others, HUB_REPORT_AGE_MS, ANSWER_MS, self.model, self.settings
         )
 
-    def _describe(self, call):
+    def _make_demand(self, call):
         return placement.CallDemand(
             call.tokens, call.part.id, call.part.tokens, ANSWER_MS
         )
 
     def _note_placed(self, endpoint_id, part):
-        self.prefixes.note(endpoint_id, [part], self.now)
+        self.prefixes.note(endpoint_id, [part], self.now_ms)
 
-    def _arrive(self, call, number):
+    def _deliver(self, call, number):
         self.engines[number].accept(call)
-        self._wake(number)
+        self._start_step(number)
 
-    def _wake(self, number):
+    def _start_step(self, number):
         engine = self.engines[number]
-        if engine.busy or not (engine.running or engine.reading):
+        if engine.busy or not (engine.decoding or engine.prefilling):
             return
         engine.busy = True
-        step_ms, first, ended = engine.step()
-        self.at(self.now + step_ms, self._stepped, number, first, ended)
-
-    def _stepped(self, number, first, ended):
-        count = self.load.endpoints
-        for call in first:
-            call.first_ms = self.now - call.came_ms
-            self.reports.own[call.host][count + number] -= call.fresh
-        for call in ended:
+        step_ms, prefilled, completed = engine.step()
+        self.schedule(
+            self.now_ms + step_ms,
+            self._complete_step,
+            number,
+            prefilled,
+            completed,
+        )
+
+    def _complete_step(self, number, prefilled, completed):
+        count = self.workload.endpoints
+        for call in prefilled:
+            call.first_token_ms = self.now_ms - call.arrived_ms
+            self.reports.own[call.host][count + number] -= call.uncached_tokens
+        for call in completed:
             self.reports.own[call.host][number] -= 1
         self.engines[number].busy = False
-        self._wake(number)
+        self._start_step(number)
 
 
-def draw(source, mean, spread, most):
-    """Draw a whole number from a lognormal distribution of a mean."""
-    factor = source.lognormvariate(-spread * spread / 2, spread)
-    return int(max(1, min(most, mean * factor)))
+def draw_tokens(rng, mean, sigma, max_tokens):
+    """Draw a number of tokens from a lognormal distribution.
+
+    :param mean: mean of the distribution without the upper bound.
+    :param sigma: standard deviation of its logarithm.
+    :param max_tokens: upper bound of the result.
+    """
+    factor = rng.lognormvariate(-sigma * sigma / 2, sigma)
+    return int(max(1, min(max_tokens, mean * factor)))
 
 
 def summarize(calls):
-    """Return late share, 95th percentile and share found cached, by kind."""
+    """Summarize calls by kind.
+
+    :returns: a map from the name of a kind to the fraction of its calls that
+        were late, the 95th percentile of their times to first token, and the
+        fraction of their prompt tokens that were cached.
+    """
     rows = {}
     for name in sorted({call.kind.name for call in calls}):
         of_kind = [call for call in calls if call.kind.name == name]
-        first = sorted(
-            call.first_ms if call.first_ms is not None else 1e6
+        times_ms = sorted(
+            call.first_token_ms if call.first_token_ms is not None else 1e6
             for call in of_kind
         )
-        late = sum(ms > of_kind[0].kind.target_ms for ms in first) / len(first)
+        late = sum(ms > of_kind[0].kind.target_ms for ms in times_ms) / len(
+            times_ms
+        )
         tokens = sum(call.tokens for call in of_kind)
-        fresh = sum(call.fresh for call in of_kind)
-        p95 = first[int(len(first) * 0.95)]
-        rows[name] = (late, p95, 1 - fresh / tokens)
+        uncached = sum(call.uncached_tokens for call in of_kind)
+        p95 = times_ms[int(len(times_ms) * 0.95)]
+        rows[name] = (late, p95, 1 - uncached / tokens)
     return rows
 
 
 def main(argv):
-    """Play each load at each number of hosts."""
+    """Simulate each workload with each number of hosts."""
     del argv
     for name in FLAGS.load:
         for hosts in map(int, FLAGS.hosts):
-            play = Play(
-                LOADS[name], hosts, FLAGS.seed, FLAGS.fill, FLAGS.spread
+            simulation = Simulation(
+                WORKLOADS[name], hosts, FLAGS.seed, FLAGS.fill, FLAGS.spread
             )
-            rows = summarize(play.run(FLAGS.seconds))
+            rows = summarize(simulation.run(FLAGS.seconds))
             cells = [
                 f'{kind}: late {late:.3f}, p95 {p95:.0f} ms, '
                 f'cached {cached:.2f}'
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -8,8 +8,8 @@
 from hypothesis import strategies as st
 import pytest
 
-from benchmarks.bystanders import LOADS
-from benchmarks.bystanders import Play
+from benchmarks.bystanders import SCENARIOS
+from benchmarks.bystanders import Simulation
 from pearrun import exceptions
 from pearrun.clock import Clock
 from pearrun.decisions.evidence import Crash
@@ -279,14 +279,16 @@
 )
 def test_good_calls_are_not_refused_when_endpoints_crash(name):
     for seed in range(3):
-        counts = Play(LOADS[name], seed).run(SECONDS)
+        counts = Simulation(SCENARIOS[name], seed).run(SECONDS)
         assert counts.good > 1000
         assert counts.refused == 0
 
 
 def test_requests_that_crash_endpoints_are_stopped_and_others_are_not():
     for seed in range(3):
-        counts = Play(LOADS['three requests crash them'], seed).run(SECONDS)
+        counts = Simulation(SCENARIOS['three requests crash them'], seed).run(
+            SECONDS
+        )
         assert len(counts.crashes) == 3
         # One or two more may be in flight when the third crash is detected.
         assert max(counts.crashes.values()) <= 5
--- a/tests/test_stale_placement.py
+++ b/tests/test_stale_placement.py
@@ -2,9 +2,9 @@
 
 import pytest
 
-from benchmarks.placement import LOADS
-from benchmarks.placement import Play
+from benchmarks.placement import Simulation
 from benchmarks.placement import summarize
+from benchmarks.placement import WORKLOADS
 from pearrun.decisions import placement
 from pearrun.decisions.demand import Demand
 from pearrun.decisions.enginemodel import EngineModel
@@ -16,7 +16,7 @@
 
 def run_simulation(name, hosts):
     """Return late share, 95th percentile and cached share by call kind."""
-    return summarize(Play(LOADS[name], hosts).run(SECONDS))
+    return summarize(Simulation(WORKLOADS[name], hosts).run(SECONDS))
 
 
 @pytest.mark.parametrize('hosts', [83, 195])
