--- a/benchmarks/ablation.py
+++ b/benchmarks/ablation.py
@@ -2,7 +2,7 @@
 
     python -m benchmarks.ablation --bench=PROGRAM --workdir=DIR \\
         --sites=SITE,SITE --days=scale-1,trouble-2 --seeds=1,2 \\
-        --variants=benchmarks/mechanisms.yaml --only=hubs,urgency
+        --variants=benchmarks/mechanisms.yaml --only='no urgency'
 
 The bench is a program that is called as ``PROGRAM run SITE DAY --seed N``
 and writes a journal entry for each call.  A day is a scenario of load and
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -1,10 +1,13 @@
-"""Measure how fast the fleet agrees, with 3 zones of 3 daemons each.
+"""Benchmark of the propagation of changes in a fleet of 3 x 3 daemons.
 
-- ``config``: from a publish's answer to being in force on each daemon;
-- ``leaving``: from a drain told to one daemon, and from a reclaim
-  notice, to the last stream any daemon newly started there;
-- ``restart``: streams cut while every daemon is stopped and started
-  again, one after the other, under load.
+The daemons are in three zones.  Parts:
+
+- ``config``: time from the response to a publish request until the
+  configuration is in force on each daemon;
+- ``leaving``: time from a drain request to one daemon, and from a reclaim
+  notice, until the last new stream that any daemon starts on the endpoint;
+- ``restart``: number of streams interrupted by a rolling restart of all
+  daemons under load.
 
     python -m benchmarks.fleet --fleet_parts=config,leaving,restart
 """
@@ -20,7 +23,7 @@
 import aiohttp
 from hdrh.histogram import HdrHistogram
 
-from benchmarks.slopes import PRODUCTION_HOST
+from benchmarks.slopes import PRODUCTION_SETTINGS
 from pearrun.api import config
 from pearrun.api import settings as settings_module
 from pearrun.api.logservice import LogClient
@@ -31,11 +34,11 @@
 
 FLAGS = flags.FLAGS
 flags.DEFINE_list(
-    'fleet_parts', ['config', 'leaving', 'restart'], 'Which parts to run.'
+    'fleet_parts', ['config', 'leaving', 'restart'], 'Parts to run.'
 )
 flags.DEFINE_integer('changes', 40, 'Configuration changes to publish.')
 flags.DEFINE_integer('engines', 4, 'Engines per zone.')
-flags.DEFINE_integer('callers', 24, 'Callers that keep a stream open.')
+flags.DEFINE_integer('callers', 24, 'Number of concurrent callers.')
 
 ZONES = ('khomas-a', 'khomas-b', 'khomas-c')
 
@@ -45,12 +48,12 @@
         tempfile.mkdtemp(prefix='pearrun-fleet-'),
         {z: Zone(daemons=3, engines=FLAGS.engines) for z in ZONES},
         [f'--decode_ms={decode_ms}', '--slots=64'],
-        host=PRODUCTION_HOST,
+        host=PRODUCTION_SETTINGS,
     ).begin()
 
 
-def describe(histogram):
-    """Return count, p50, p99 and maximum in milliseconds."""
+def summarize(histogram):
+    """Return the count, p50, p99 and maximum of a histogram."""
     return {
         'samples': histogram.get_total_count(),
         'p50_ms': histogram.get_value_at_percentile(50),
@@ -59,15 +62,15 @@
     }
 
 
-async def get_json(session, url):
+async def fetch_json(session, url):
     async with session.get(url) as reply:
         return await reply.json()
 
 
-async def watch_version(session, url, version, started, histogram):
-    """Record when a daemon has a configuration version in force."""
+async def wait_for_version(session, url, version, started, histogram):
+    """Record the time until a daemon has a configuration version in force."""
     while True:
-        status = await get_json(session, f'{url}/v1/status')
+        status = await fetch_json(session, f'{url}/v1/status')
         if status['config_version'] >= version:
             lag_ms = int((time.monotonic() - started) * 1000)
             histogram.record_value(max(1, lag_ms))
@@ -87,34 +90,44 @@
             started = time.monotonic()
             await asyncio.gather(
                 *(
-                    watch_version(
+                    wait_for_version(
                         session, cluster.url(n), version, started, histogram
                     )
                     for n in cluster.names('daemon')
                 )
             )
             await asyncio.sleep(random.uniform(0, 0.5))
-    return describe(histogram)
+    return summarize(histogram)
+
+
+class StreamLoad:
+    """Callers that continuously start streams on available daemons.
 
+    :param tokens: number of tokens per stream.
 
-class Load:
-    """Callers that keep short or long streams going at live daemons."""
+    ``unavailable`` holds the names of daemons that receive no calls, and
+    ``interrupted`` a description of each stream that was not complete.
+    """
 
     def __init__(self, session, cluster, tokens):
         self.session = session
         self.cluster = cluster
         self.tokens = tokens
-        self.down = set()
-        self.whole = 0
-        self.cut = []
+        self.unavailable = set()
+        self.complete = 0
+        self.interrupted = []
         self.refused = 0
-        self.going = True
+        self.running = True
 
-    async def call(self, number):
-        """Keep one stream after the other going."""
-        while self.going:
+    async def run_caller(self, number):
+        """Run one stream after another until stopped."""
+        while self.running:
             name = random.choice(
-                [n for n in self.cluster.names('daemon') if n not in self.down]
+                [
+                    n
+                    for n in self.cluster.names('daemon')
+                    if n not in self.unavailable
+                ]
             )
             prompt = f'caller {number} at {time.monotonic()}'
             body = {
@@ -123,10 +136,10 @@
                 'max_tokens': self.tokens,
                 'stream': True,
             }
-            await self.stream(name, prompt, body)
+            await self.run_stream(name, prompt, body)
 
-    async def stream(self, name, prompt, body):
-        pieces, final = [], None
+    async def run_stream(self, name, prompt, body):
+        tokens, final_event = [], None
         try:
             async with self.session.post(
                 f'{self.cluster.url(name)}/v1/completions', json=body
@@ -139,59 +152,67 @@
                     if raw.startswith(b'data: {'):
                         event = json.loads(raw[6:])
                         if 'choices' in event:
-                            pieces.append(event['choices'][0]['text'])
+                            tokens.append(event['choices'][0]['text'])
                         else:
-                            final = event
+                            final_event = event
         except aiohttp.ClientConnectorError:
             self.refused += 1
             await asyncio.sleep(0.05)
             return
         except (aiohttp.ClientError, OSError) as exc:
-            final = repr(exc)
+            final_event = repr(exc)
         expected = text.answer_text(prompt, 0, self.tokens)
-        if ''.join(pieces) == expected and final['state'] == 'done':
-            self.whole += 1
+        if ''.join(tokens) == expected and final_event['state'] == 'done':
+            self.complete += 1
         else:
-            self.cut.append(f'{name}: {len(pieces)} tokens, {final}')
+            self.interrupted.append(
+                f'{name}: {len(tokens)} tokens, {final_event}'
+            )
+
 
+async def find_last_starts(session, cluster, names, started, duration_s):
+    """Return the time of the last new stream on each engine.
 
-async def last_start(session, cluster, names, started, for_s):
-    """Return ms from ``started`` to the last new stream at each engine."""
-    last = dict.fromkeys(names, 1)
+    :param started: monotonic time of the drain request or reclaim notice.
+    :param duration_s: how long to poll the engines.
+    :returns: a list of milliseconds since ``started``.
+    """
+    last_ms = dict.fromkeys(names, 1)
     counts = {}
-    while time.monotonic() - started < for_s:
+    while time.monotonic() - started < duration_s:
         for name in names:
-            body = await get_json(session, f'{cluster.url(name)}/v1/started')
+            body = await fetch_json(session, f'{cluster.url(name)}/v1/started')
             total = sum(body['started'].values())
             if name in counts and counts[name] != total:
-                last[name] = int((time.monotonic() - started) * 1000)
+                last_ms[name] = int((time.monotonic() - started) * 1000)
             counts[name] = total
         await asyncio.sleep(0.01)
-    return list(last.values())
+    return list(last_ms.values())
 
 
 async def measure_leaving(cluster):
-    drained, noticed = HdrHistogram(1, 60_000, 3), HdrHistogram(1, 60_000, 3)
+    drains, reclaims = HdrHistogram(1, 60_000, 3), HdrHistogram(1, 60_000, 3)
     async with aiohttp.ClientSession(
         connector=aiohttp.TCPConnector(limit=0)
     ) as session:
-        load = Load(session, cluster, tokens=4)
+        load = StreamLoad(session, cluster, tokens=4)
         callers = [
-            asyncio.create_task(load.call(n)) for n in range(FLAGS.callers)
+            asyncio.create_task(load.run_caller(n))
+            for n in range(FLAGS.callers)
         ]
         await asyncio.sleep(2)
         for zone in ZONES:
             for n in range(1, FLAGS.engines):
                 name = f'engine-{zone}-{n}'
-                teller = cluster.url(f'{random.choice(ZONES)}-1')
+                daemon_url = cluster.url(f'{random.choice(ZONES)}-1')
                 async with session.post(
-                    f'{teller}/admin/drain', json={'endpoint': name}
+                    f'{daemon_url}/admin/drain', json={'endpoint': name}
                 ):
                     started = time.monotonic()
-                for value in await last_start(
+                for value in await find_last_starts(
                     session, cluster, [name], started, 4
                 ):
-                    drained.record_value(value)
+                    drains.record_value(value)
         for zone in ZONES[:2]:
             url = f'{cluster.url("cloud")}/admin/reclaim'
             async with session.post(
@@ -199,17 +220,17 @@
             ):
                 started = time.monotonic()
             name = f'engine-{zone}-{FLAGS.engines}'
-            for value in await last_start(
+            for value in await find_last_starts(
                 session, cluster, [name], started, 4
             ):
-                noticed.record_value(value)
-        load.going = False
+                reclaims.record_value(value)
+        load.running = False
         await asyncio.gather(*callers)
     return {
-        'drain told to one daemon': describe(drained),
-        'reclaim notice': describe(noticed),
-        'streams whole': load.whole,
-        'streams cut': len(load.cut),
+        'drain told to one daemon': summarize(drains),
+        'reclaim notice': summarize(reclaims),
+        'streams whole': load.complete,
+        'streams cut': len(load.interrupted),
     }
 
 
@@ -217,24 +238,25 @@
     async with aiohttp.ClientSession(
         connector=aiohttp.TCPConnector(limit=0)
     ) as session:
-        load = Load(session, cluster, tokens=200)
+        load = StreamLoad(session, cluster, tokens=200)
         callers = [
-            asyncio.create_task(load.call(n)) for n in range(FLAGS.callers)
+            asyncio.create_task(load.run_caller(n))
+            for n in range(FLAGS.callers)
         ]
         await asyncio.sleep(1)
         for name in cluster.names('daemon'):
             cluster.signal(name, 'TERM')
-            load.down.add(name)
+            load.unavailable.add(name)
             await asyncio.to_thread(cluster.restart, name)
-            load.down.discard(name)
+            load.unavailable.discard(name)
             await asyncio.sleep(0.5)
-        load.going = False
+        load.running = False
         await asyncio.gather(*callers)
     return {
         'daemons restarted': len(cluster.names('daemon')),
-        'streams whole': load.whole,
-        'streams cut': len(load.cut),
-        'cut': load.cut[:5],
+        'streams whole': load.complete,
+        'streams cut': len(load.interrupted),
+        'cut': load.interrupted[:5],
         'refused, sent elsewhere': load.refused,
     }
 
--- a/benchmarks/quarantine.py
+++ b/benchmarks/quarantine.py
@@ -1,7 +1,7 @@
-"""Measure what the quarantine costs on a call's path, and its state.
+"""Benchmark of the quarantine's CPU time per call and memory use.
 
-Prints microseconds of processor time for each step and the bytes of the
-state at its limits:
+Prints the CPU time of each operation in microseconds, and the size of the
+quarantine's state at its limits:
 
     python -m benchmarks.quarantine
 """
@@ -31,36 +31,41 @@
 
 @dataclasses.dataclass(frozen=True)
 class FingerprintedCall:
-    """A call as the quarantine sees it."""
+    """A call with the only attribute that the quarantine uses."""
 
     fingerprint: str
 
 
-def measure(name, step):
-    """Print the processor time of a step."""
-    begun = time.process_time()
+def measure(name, operation):
+    """Print the mean CPU time of an operation.
+
+    :param operation: called with the number of the repetition.
+    """
+    started = time.process_time()
     for number in range(FLAGS.repeats):
-        step(number)
-    spent = time.process_time() - begun
+        operation(number)
+    spent = time.process_time() - started
     print(f'{name}: {spent / FLAGS.repeats * 1e6:.2f} us')
 
 
-def make_suspect(number, now):
-    """Return a suspect with as many crashes as are remembered."""
+def make_suspect(number, now_ms):
+    """Return a suspect with the maximum number of crashes."""
     crashes = {}
     for crash in range(QuarantineSettings.max_crashes):
         name = f'i-{number:05}{crash:05}'
-        crashes[name] = Crash(name, now, 50, False, f'{number:016}', 'zone-a')
+        crashes[name] = Crash(
+            name, now_ms, 50, False, f'{number:016}', 'zone-a'
+        )
     return Suspect(make_fingerprint(b'%d' % number), crashes)
 
 
 def main(argv):
-    """Measure all steps."""
+    """Measure all operations and print the results."""
     del argv
     for size in BODY_BYTES:
         body = bytes(size)
         measure(
-            f'fingerprint of {size} bytes',
+            f'fingerprint of a {size}-byte body',
             lambda number, body=body: make_fingerprint(
                 b'POST', b'desk.example', b'/long/', b'anna', body
             ),
@@ -71,42 +76,49 @@
         FingerprintedCall(f'{number:024}') for number in range(FLAGS.repeats)
     ]
     measure(
-        'look-up, nothing quarantined',
+        'lookup, nothing quarantined',
         lambda number: quarantine.left_ms(calls[number]),
     )
     measure(
-        'answer noted', lambda number: quarantine.note_answered(calls[number])
+        'recording an answer',
+        lambda number: quarantine.note_answered(calls[number]),
     )
     measure(
-        'round with no suspects', lambda number: quarantine.collect_updates()
+        'collecting updates, no suspects',
+        lambda number: quarantine.collect_updates(),
     )
     tracemalloc.start()
-    before, _ = tracemalloc.get_traced_memory()
+    empty, _ = tracemalloc.get_traced_memory()
     fresh = Quarantine(clock)
     for number in range(MAX_ANSWERED):
         fresh.note_answered(FingerprintedCall(f'answered-{number:015}'))
-    after, _ = tracemalloc.get_traced_memory()
-    print(f'{MAX_ANSWERED} answered requests: {after - before} bytes')
+    with_answers, _ = tracemalloc.get_traced_memory()
+    print(f'{MAX_ANSWERED} answered requests: {with_answers - empty} bytes')
     known = [
         make_suspect(number, clock.now())
         for number in range(QuarantineSettings.max_suspects)
     ]
     fresh.merge(known, 'benchmark', forward=False)
-    full, _ = tracemalloc.get_traced_memory()
-    print(f'{len(known)} suspects at their limit: {full - after} bytes')
+    with_suspects, _ = tracemalloc.get_traced_memory()
+    print(
+        f'{len(known)} suspects with the maximum number of crashes: '
+        f'{with_suspects - with_answers} bytes'
+    )
     tracemalloc.stop()
-    told = [suspects.to_fields(item) for item in fresh.take_snapshot()]
-    print(f'note of {MAX_SENT} of them: {len(cbor2.dumps(told))} bytes')
-    begun = time.process_time()
+    updates = [suspects.to_fields(item) for item in fresh.take_snapshot()]
+    print(
+        f'message with {MAX_SENT} of them: {len(cbor2.dumps(updates))} bytes'
+    )
+    started = time.process_time()
     fresh.known.evaluate(clock.now())
-    spent = time.process_time() - begun
-    print(f'judging {len(known)} suspects: {spent * 1000:.1f} ms')
+    spent = time.process_time() - started
+    print(f'evaluating {len(known)} suspects: {spent * 1000:.1f} ms')
     measure(
-        'look-up, others quarantined',
+        'lookup, others quarantined',
         lambda number: fresh.left_ms(calls[number]),
     )
 
 
 if __name__ == '__main__':
-    flags.DEFINE_integer('repeats', 5000, 'calls of each step')
+    flags.DEFINE_integer('repeats', 5000, 'repetitions of each operation')
     absl_app.run(main)
--- a/benchmarks/reclaim.py
+++ b/benchmarks/reclaim.py
@@ -1,13 +1,14 @@
-"""Measure a burst with a whole zone reclaimed in the middle of it.
-
-Starts stand-ins and daemons in three failure domains, sends nearly
-all requests within the first seconds (drafts with long prompts that
-share a prefix, and renewal charges), announces the reclaim of one
-zone and kills every process there partway through the notice.  Played
-four times in one run: with the KV cache of running streams moved off
-the zone or not, and with their tokens saved in the journal or not.
-Prints JSON: requests accepted, answered whole, lost and doubled, and
-recomputed tokens as a share of those served.
+"""Benchmark of a burst during which a whole zone is reclaimed.
+
+Starts stand-ins and daemons in three failure domains, sends nearly all
+requests within the first seconds (drafts, whose long prompts share a
+prefix, and non-idempotent renewal charges), announces the reclaim of one
+zone, and kills every process there before the notice period ends.  This is
+repeated for all combinations of two settings: whether the KV cache of
+running streams is moved out of the zone, and whether their tokens are saved
+in the journal.  Prints JSON: numbers of requests accepted, answered
+completely, lost, and executed more than once, and the ratio of recomputed
+tokens to tokens served.
 
     python -m benchmarks.reclaim --drafts=120 --renewals=40
 """
@@ -29,22 +30,27 @@
 FLAGS = flags.FLAGS
 flags.DEFINE_integer('drafts', 120, 'Drafts to send.')
 flags.DEFINE_integer('renewals', 40, 'Non-idempotent calls to send.')
-flags.DEFINE_integer('burst_ms', 2000, 'The burst is sent within this.')
-flags.DEFINE_integer('prompt_words', 800, 'Words of a draft prompt.')
-flags.DEFINE_integer('shared_words', 300, 'Words all prompts share.')
-flags.DEFINE_integer('tokens', 150, 'Tokens of a draft.')
-flags.DEFINE_integer('reclaim_at_ms', 2000, 'When the zone is reclaimed.')
-flags.DEFINE_integer('notice_ms', 4000, 'Notice given.')
-flags.DEFINE_integer('kill_after_ms', 3000, 'Killed after the notice.')
-flags.DEFINE_integer('seed', 1, 'Seed of the arrivals.')
+flags.DEFINE_integer('burst_ms', 2000, 'Duration of the burst.')
+flags.DEFINE_integer('prompt_words', 800, 'Words per draft prompt.')
+flags.DEFINE_integer('shared_words', 300, 'Words shared by all drafts.')
+flags.DEFINE_integer('tokens', 150, 'Tokens per draft.')
+flags.DEFINE_integer('reclaim_at_ms', 2000, 'Time of the reclaim notice.')
+flags.DEFINE_integer('notice_ms', 4000, 'Notice period.')
+flags.DEFINE_integer(
+    'kill_after_ms', 3000, 'Time from the notice to the kill.'
+)
+flags.DEFINE_integer('seed', 1, 'Seed of the arrival times.')
 
 ZONES = ('khomas-a', 'khomas-b', 'khomas-c')
-LOST_ZONE = ZONES[0]
-ANSWER_S = 60
+RECLAIMED_ZONE = ZONES[0]
+RUN_TIMEOUT_S = 60
 
 
 def build_requests():
-    """Return the burst's request bodies, each with its arrival in s."""
+    """Build the requests of the burst.
+
+    :returns: a list of ``(arrival time in seconds, request body)``.
+    """
     rng = random.Random(FLAGS.seed)
     shared = ' '.join(f'rule{i}' for i in range(FLAGS.shared_words))
     requests = []
@@ -67,15 +73,15 @@
     return list(zip(arrivals, requests, strict=True))
 
 
-def expected(body):
-    """Return the whole answer a request must get."""
+def make_expected_answer(body):
+    """Return the complete answer to a request."""
     if body['model'] == 'licence-records':
         return f'acknowledged {body["prompt"]}'
     return text.answer_text(body['prompt'], 0, body['max_tokens'])
 
 
 class Caller:
-    """Sends one request, comes back when told to, fetches the answer."""
+    """Sends one request, retries when refused, and polls for the answer."""
 
     def __init__(self, session, cluster, number, body):
         self.session = session
@@ -85,8 +91,8 @@
         self.refusals = 0
         self.outcome = 'lost'
 
-    def any_daemon(self):
-        """Return a daemon the balancer would still send callers to."""
+    def choose_daemon(self):
+        """Return the URL of a random running daemon, like a load balancer."""
         names = [
             n
             for n in self.cluster.names('daemon')
@@ -94,8 +100,8 @@
         ]
         return self.cluster.url(random.choice(names))
 
-    async def accept(self):
-        """Send until accepted; return the request id."""
+    async def submit(self):
+        """Send the request until it is accepted; return its id."""
         headers = {
             'Prefer': 'respond-async',
             'Idempotency-Key': f'key-{self.number}',
@@ -103,24 +109,24 @@
         while True:
             try:
                 async with self.session.post(
-                    f'{self.any_daemon()}/v1/completions',
+                    f'{self.choose_daemon()}/v1/completions',
                     json=self.body,
                     headers=headers,
                 ) as reply:
                     if reply.status == 202:
                         return (await reply.json())['id']
                     self.refusals += 1
-                    pause = float(reply.headers.get('Retry-After', 1))
+                    pause_s = float(reply.headers.get('Retry-After', 1))
             except (aiohttp.ClientError, OSError):
-                pause = 0.2
-            await asyncio.sleep(pause)
+                pause_s = 0.2
+            await asyncio.sleep(pause_s)
 
     async def fetch(self, request_id):
-        """Poll for the final state at any daemon."""
+        """Poll running daemons until the request has ended."""
         while True:
             try:
                 async with self.session.get(
-                    f'{self.any_daemon()}/v1/requests/{request_id}',
+                    f'{self.choose_daemon()}/v1/requests/{request_id}',
                     timeout=aiohttp.ClientTimeout(total=5),
                 ) as reply:
                     body = await reply.json()
@@ -135,18 +141,18 @@
 
     async def run(self, arrival_s):
         await asyncio.sleep(arrival_s)
-        request_id = await self.accept()
+        request_id = await self.submit()
         self.outcome = 'accepted'
         answer = await self.fetch(request_id)
         if answer['state'] == 'done':
-            whole = answer['text'] == expected(self.body)
-            self.outcome = 'whole' if whole else 'wrong'
+            is_complete = answer['text'] == make_expected_answer(self.body)
+            self.outcome = 'whole' if is_complete else 'wrong'
         else:
             self.outcome = f'told {answer["error"]["error"]["code"]}'
 
 
 async def read_stats(session, cluster, totals):
-    """Keep the newest counters of every process that answers."""
+    """Update the counters of every process that responds."""
     paths = {'engine': '/v1/stats', 'daemon': '/v1/metrics'}
     for kind, path in paths.items():
         for name in cluster.names(kind):
@@ -157,22 +163,22 @@
                 continue
 
 
-async def reclaim(session, cluster):
-    """Announce the zone's reclaim, then kill everything in it."""
+async def reclaim_zone(session, cluster):
+    """Announce the reclaim of the zone, then kill its processes."""
     await asyncio.sleep(FLAGS.reclaim_at_ms / 1000)
-    body = {'zone': LOST_ZONE, 'notice_ms': FLAGS.notice_ms}
+    body = {'zone': RECLAIMED_ZONE, 'notice_ms': FLAGS.notice_ms}
     async with session.post(
         f'{cluster.url("cloud")}/admin/reclaim', json=body
     ):
         pass
     await asyncio.sleep(FLAGS.kill_after_ms / 1000)
     for name, zone in cluster.zone_of.items():
-        if zone == LOST_ZONE:
+        if zone == RECLAIMED_ZONE:
             cluster.signal(name, 'KILL')
 
 
-async def drive(cluster):
-    """Play the burst; return the figures."""
+async def run_burst(cluster):
+    """Send the burst, reclaim the zone and return the results."""
     totals = {}
     async with aiohttp.ClientSession(
         connector=aiohttp.TCPConnector(limit=0)
@@ -182,19 +188,19 @@
             for n, (arrival, body) in enumerate(build_requests())
         ]
 
-        async def watch():
+        async def poll_stats():
             while True:
                 await read_stats(session, cluster, totals)
                 await asyncio.sleep(0.2)
 
-        watcher = asyncio.create_task(watch())
-        wave = asyncio.create_task(reclaim(session, cluster))
+        stats_task = asyncio.create_task(poll_stats())
+        reclaim_task = asyncio.create_task(reclaim_zone(session, cluster))
         runs = [asyncio.create_task(c.run(a)) for a, c in callers]
-        await asyncio.wait(runs, timeout=ANSWER_S)
+        await asyncio.wait(runs, timeout=RUN_TIMEOUT_S)
         for run in runs:
             run.cancel()
-        await wave
-        watcher.cancel()
+        await reclaim_task
+        stats_task.cancel()
         await read_stats(session, cluster, totals)
         executions = collections.Counter()
         for name in cluster.names('service'):
@@ -214,8 +220,8 @@
         c.body.get('max_tokens', 0) for _, c in callers if c.outcome == 'whole'
     )
     decoded = sum(e['decoded_tokens'] for e in engines)
-    reread = sum(e['recomputed_tokens'] for e in engines)
-    recomputed = reread + max(0, decoded - answered)
+    recomputed_prompt = sum(e['recomputed_tokens'] for e in engines)
+    recomputed = recomputed_prompt + max(0, decoded - answered)
     served = sum(
         e['decoded_tokens'] + e['prefill_tokens'] + e['cached_tokens']
         for e in engines
@@ -235,15 +241,15 @@
         'moves': count('moves'),
         'retries': count('retries'),
         'adopted': count('adopted'),
-        'prompt_tokens_reread': reread,
+        'prompt_tokens_reread': recomputed_prompt,
         'tokens_decoded_again': max(0, decoded - answered),
         'tokens_recomputed': recomputed,
         'recomputed_share': round(recomputed / max(1, served), 5),
     }
 
 
-def play(**host):
-    """Start a cluster with these settings, play the burst, stop it."""
+def run_cluster(**host):
+    """Start a cluster with these host settings and run the burst on it."""
     cluster = Cluster(
         tempfile.mkdtemp(prefix='pearrun-reclaim-'),
         {zone: Zone(daemons=2, engines=2, services=1) for zone in ZONES},
@@ -251,24 +257,24 @@
         host={'config_poll_ms': 250, **host},
     )
     try:
-        return asyncio.run(drive(cluster.begin()))
+        return asyncio.run(run_burst(cluster.begin()))
     finally:
         cluster.stop()
 
 
 def main(argv):
     del argv
-    ways = {
-        'neither': play(move_cache=False, save_progress=False),
-        'cache moved': play(move_cache=True, save_progress=False),
-        'progress saved': play(move_cache=False, save_progress=True),
-        'both': play(move_cache=True, save_progress=True),
+    results = {
+        'neither': run_cluster(move_cache=False, save_progress=False),
+        'cache moved': run_cluster(move_cache=True, save_progress=False),
+        'progress saved': run_cluster(move_cache=False, save_progress=True),
+        'both': run_cluster(move_cache=True, save_progress=True),
     }
-    base = max(1, ways['neither']['tokens_recomputed'])
-    for figures in ways.values():
-        ratio = figures['tokens_recomputed'] / base
+    baseline = max(1, results['neither']['tokens_recomputed'])
+    for figures in results.values():
+        ratio = figures['tokens_recomputed'] / baseline
         figures['ratio_to_neither'] = round(ratio, 4)
-    print(json.dumps(ways, indent=2))
+    print(json.dumps(results, indent=2))
 
 
 if __name__ == '__main__':
--- a/benchmarks/slopes.py
+++ b/benchmarks/slopes.py
@@ -1,15 +1,16 @@
-"""Measure what one daemon costs: the slopes behind docs/CAPACITY.md.
+"""Benchmark of a daemon's resource usage, for docs/CAPACITY.md.
 
-Each part starts small stand-ins and daemons on 127.0.0.1, changes one
-size and prints the daemon's CPU time, memory and traffic against it:
+Each part starts stand-ins and daemons on 127.0.0.1, varies one quantity and
+prints how the daemon's CPU time, memory and traffic depend on it:
 
-- ``requests``: latency through pearrund over calling the engine
-  directly, and CPU per request and per token;
-- ``idle``: CPU, memory and control traffic of a daemon at rest;
-- ``endpoints``, ``members``, ``peers``: the same against their number;
-- ``config``: CPU per configuration change;
-- ``jobs``: memory per request held;
-- ``router``: CPU per routing decision.
+- ``requests``: latency through pearrund relative to calling the engine
+  directly, and CPU time per request and per token;
+- ``idle``: CPU time, memory and control traffic of an idle daemon;
+- ``endpoints``, ``members``, ``peers``: the same for several numbers of
+  them;
+- ``config``: CPU time per configuration change;
+- ``jobs``: memory per request kept;
+- ``router``: CPU time per routing decision.
 
     python -m benchmarks.slopes --parts=requests,idle
 """
@@ -52,14 +53,14 @@
     ],
     'Which parts to measure.',
 )
-flags.DEFINE_integer('requests', 400, 'Requests per path.')
-flags.DEFINE_integer('concurrency', 8, 'Requests in flight per path.')
-flags.DEFINE_integer('watch_s', 10, 'Seconds to watch a daemon at rest.')
+flags.DEFINE_integer('requests', 400, 'Requests per measurement.')
+flags.DEFINE_integer('concurrency', 8, 'Concurrent requests.')
+flags.DEFINE_integer('watch_s', 10, 'Seconds to observe an idle daemon.')
 
 ZONE = 'boa-viagem'
 DAEMON = f'{ZONE}-1'
 ENGINE = f'engine-{ZONE}-1'
-PRODUCTION_HOST = {
+PRODUCTION_SETTINGS = {
     'config_poll_ms': 500,
     'hosts_poll_ms': 500,
     'loads_poll_ms': 250,
@@ -74,8 +75,9 @@
 class MeasuredCluster(Cluster):
     """A cluster whose first daemon is measured.
 
-    :param extra_endpoints: endpoints added to the daemons' settings,
-        all answered by the one engine stand-in.
+    :param extra_endpoints: number of endpoints added to the daemons'
+        settings, all with the URL of the only engine stand-in.
+    :param daemons: number of daemons.
     """
 
     def __init__(self, extra_endpoints=0, daemons=1):
@@ -83,7 +85,7 @@
             tempfile.mkdtemp(prefix='pearrun-slopes-'),
             {ZONE: Zone(daemons=daemons, engines=1, services=1)},
             ['--decode_ms=2', '--slots=64'],
-            host=PRODUCTION_HOST,
+            host=PRODUCTION_SETTINGS,
             log_flags=['--appends_per_second=100000'],
         )
         self.extra_endpoints = extra_endpoints
@@ -111,8 +113,8 @@
     def pid(self):
         return self.procs[DAEMON].pid
 
-    def traffic(self):
-        """Return bytes the stand-ins exchanged with the daemons."""
+    def count_platform_bytes(self):
+        """Return the bytes that the stand-ins exchanged with the daemons."""
         names = ['log', 'cloud', *self.names('engine')]
         return sum(
             call_json(f'{self.url(n)}/admin/traffic')[2]['bytes']
@@ -120,25 +122,29 @@
         )
 
 
-def watch(cluster, seconds):
-    """Return CPU share, memory and control bytes/s of the daemon."""
+def observe_daemon(cluster, seconds):
+    """Return the daemon's CPU usage, memory and control traffic."""
     time.sleep(2)
-    cpu, sent, started = (
+    cpu_ms, traffic, started = (
         read_cpu_ms(cluster.pid),
-        cluster.traffic(),
+        cluster.count_platform_bytes(),
         time.monotonic(),
     )
     time.sleep(seconds)
-    wall = time.monotonic() - started
+    wall_s = time.monotonic() - started
     return {
-        'cpu_percent': round((read_cpu_ms(cluster.pid) - cpu) / wall / 10, 3),
+        'cpu_percent': round(
+            (read_cpu_ms(cluster.pid) - cpu_ms) / wall_s / 10, 3
+        ),
         'rss_mb': round(read_rss_kb(cluster.pid) / 1024, 1),
-        'platform_bytes_per_s': round((cluster.traffic() - sent) / wall),
+        'platform_bytes_per_s': round(
+            (cluster.count_platform_bytes() - traffic) / wall_s
+        ),
     }
 
 
-async def timed(session, url, body, histogram):
-    """Send one request and record its whole latency in microseconds."""
+async def send_timed(session, url, body, histogram):
+    """Send one request and record its duration in microseconds."""
     started = time.perf_counter()
     async with session.post(url, json=body) as reply:
         await reply.read()
@@ -146,79 +152,86 @@
     histogram.record_value(int((time.perf_counter() - started) * 1e6))
 
 
-async def drive(cluster, tokens, direct, routed):
-    """Send the same requests to the engine and through the daemon."""
-    gate = asyncio.Semaphore(FLAGS.concurrency)
+async def send_requests(cluster, tokens, direct, routed):
+    """Send the same requests to the engine and through the daemon.
+
+    :param direct: the histogram of the engine's latencies; ``None`` to send
+        through the daemon only.
+    :param routed: the histogram of the latencies through the daemon.
+    """
+    semaphore = asyncio.Semaphore(FLAGS.concurrency)
     engine = f'{cluster.url(ENGINE)}/v1/generate'
     daemon = f'{cluster.url(DAEMON)}/v1/completions'
 
-    async def one(session, number):
+    async def send_pair(session, number):
         prompt = f'fault log site {number % 16} carrier lost'
         body = {'prompt': prompt, 'max_tokens': tokens}
-        async with gate:
+        async with semaphore:
             if direct is not None:
-                await timed(
+                await send_timed(
                     session, engine, dict(body, request_id=number), direct
                 )
-            await timed(
+            await send_timed(
                 session, daemon, dict(body, model='pearrun-oficina'), routed
             )
 
     async with aiohttp.ClientSession() as session:
-        await asyncio.gather(*(one(session, n) for n in range(FLAGS.requests)))
+        await asyncio.gather(
+            *(send_pair(session, n) for n in range(FLAGS.requests))
+        )
 
 
-def new_histogram():
+def make_histogram():
     return HdrHistogram(1, 60_000_000, 3)
 
 
-def cost_of_requests(cluster, tokens):
-    """Return the daemon's CPU ms per request of ``tokens`` tokens."""
-    cpu = read_cpu_ms(cluster.pid)
-    asyncio.run(drive(cluster, tokens, None, new_histogram()))
-    return (read_cpu_ms(cluster.pid) - cpu) / FLAGS.requests
+def measure_request_cpu_ms(cluster, tokens):
+    """Return the daemon's CPU time per request of ``tokens`` tokens."""
+    cpu_ms = read_cpu_ms(cluster.pid)
+    asyncio.run(send_requests(cluster, tokens, None, make_histogram()))
+    return (read_cpu_ms(cluster.pid) - cpu_ms) / FLAGS.requests
 
 
 def measure_requests():
     with MeasuredCluster() as cluster:
-        direct, routed = new_histogram(), new_histogram()
-        asyncio.run(drive(cluster, 8, direct, routed))
+        direct, routed = make_histogram(), make_histogram()
+        asyncio.run(send_requests(cluster, 8, direct, routed))
         few, many = 4, 68
-        costs = {n: cost_of_requests(cluster, n) for n in (few, many)}
-    per_token = (costs[many] - costs[few]) / (many - few)
+        cpu_ms = {n: measure_request_cpu_ms(cluster, n) for n in (few, many)}
+    cpu_ms_per_token = (cpu_ms[many] - cpu_ms[few]) / (many - few)
     figures = {}
     for pct in (50, 99):
-        a = direct.get_value_at_percentile(pct)
-        b = routed.get_value_at_percentile(pct)
-        figures[f'direct_p{pct}_ms'] = a / 1000
-        figures[f'routed_p{pct}_ms'] = b / 1000
-        figures[f'ratio_p{pct}'] = round(b / a, 3)
+        direct_us = direct.get_value_at_percentile(pct)
+        routed_us = routed.get_value_at_percentile(pct)
+        figures[f'direct_p{pct}_ms'] = direct_us / 1000
+        figures[f'routed_p{pct}_ms'] = routed_us / 1000
+        figures[f'ratio_p{pct}'] = round(routed_us / direct_us, 3)
     return {
         **figures,
-        'cpu_ms_per_request': round(costs[few] - few * per_token, 3),
-        'cpu_ms_per_token': round(per_token, 4),
+        'cpu_ms_per_request': round(cpu_ms[few] - few * cpu_ms_per_token, 3),
+        'cpu_ms_per_token': round(cpu_ms_per_token, 4),
     }
 
 
 def measure_idle():
     with MeasuredCluster() as cluster:
-        return watch(cluster, FLAGS.watch_s)
+        return observe_daemon(cluster, FLAGS.watch_s)
 
 
 def measure_endpoints():
     figures = {}
     for number in (0, 100, 300):
         with MeasuredCluster(extra_endpoints=number) as cluster:
-            figures[number] = watch(cluster, FLAGS.watch_s)
+            figures[number] = observe_daemon(cluster, FLAGS.watch_s)
     return figures
 
 
-async def beat_for(cluster, count, seconds):
-    """Append ``count`` foreign members' beats a second to the log."""
+async def append_heartbeats(cluster, count, seconds):
+    """Append a heartbeat per second for each of ``count`` other members."""
     url = f'{cluster.url("log")}/v1/streams/members/records'
     async with aiohttp.ClientSession() as session:
 
-        async def beat(number):
+        async def append_for_member(number):
             member = Member(
                 name=f'other-{number}',
                 stream=f'requests.other-{number}.0',
@@ -233,7 +246,7 @@
                     pass
                 await asyncio.sleep(1)
 
-        await asyncio.gather(*(beat(n) for n in range(count)))
+        await asyncio.gather(*(append_for_member(n) for n in range(count)))
 
 
 def measure_members():
@@ -242,7 +255,7 @@
         with MeasuredCluster() as cluster:
             code = (
                 'import asyncio; from benchmarks import slopes; '
-                'asyncio.run(slopes.beat_from_args())'
+                'asyncio.run(slopes.append_heartbeats_from_args())'
             )
             seconds = FLAGS.watch_s + 3
             proc = subprocess.Popen(
@@ -255,28 +268,32 @@
                     str(seconds),
                 ]
             )
-            figures[count] = watch(cluster, FLAGS.watch_s)
+            figures[count] = observe_daemon(cluster, FLAGS.watch_s)
             figures[count].pop('platform_bytes_per_s')
             proc.wait()
     return figures
 
 
-async def beat_from_args():
-    """Run :func:`beat_for` in a process of its own."""
+async def append_heartbeats_from_args():
+    """Run :func:`append_heartbeats` in a separate process.
+
+    The arguments are the log service's URL, the number of members and the
+    number of seconds.
+    """
     import sys
 
-    class Target:
+    class LogTarget:
         def url(self, name):
             return sys.argv[1]
 
-    await beat_for(Target(), int(sys.argv[2]), int(sys.argv[3]))
+    await append_heartbeats(LogTarget(), int(sys.argv[2]), int(sys.argv[3]))
 
 
 def measure_peers():
     figures = {}
     for daemons in (1, 4, 16):
         with MeasuredCluster(daemons=daemons) as cluster:
-            figures[daemons - 1] = watch(cluster, FLAGS.watch_s)
+            figures[daemons - 1] = observe_daemon(cluster, FLAGS.watch_s)
             figures[daemons - 1].pop('platform_bytes_per_s')
     return figures
 
@@ -284,22 +301,22 @@
 def measure_config():
     changes = 40
     with MeasuredCluster() as cluster:
-        idle = watch(cluster, FLAGS.watch_s)
+        idle = observe_daemon(cluster, FLAGS.watch_s)
         path = f'{cluster.workdir}/change.yaml'
         with open(path, 'w', encoding='utf-8') as handle:
             yaml.safe_dump(cluster.tree, handle)
-        cpu, started = read_cpu_ms(cluster.pid), time.monotonic()
+        cpu_ms, started = read_cpu_ms(cluster.pid), time.monotonic()
         for _ in range(changes):
             cluster.apply_config()
         cluster.wait_in_force(changes + 1)
         wall_ms = (time.monotonic() - started) * 1000
-        busy = read_cpu_ms(cluster.pid) - cpu
-    at_rest = idle['cpu_percent'] / 100 * wall_ms
-    return {'cpu_ms_per_change': round((busy - at_rest) / changes, 3)}
+        busy_ms = read_cpu_ms(cluster.pid) - cpu_ms
+    idle_ms = idle['cpu_percent'] / 100 * wall_ms
+    return {'cpu_ms_per_change': round((busy_ms - idle_ms) / changes, 3)}
 
 
 def measure_router():
-    """Return the CPU ms of one routing decision, by pool size."""
+    """Return the CPU time per decision by number of endpoints."""
     figures = {}
     for number in (10, 300, 2100):
         endpoints = [builders.endpoint(n) for n in range(number)]
@@ -313,12 +330,14 @@
 
 def measure_jobs():
     with MeasuredCluster() as cluster:
-        asyncio.run(drive(cluster, 8, None, new_histogram()))
-        before = read_rss_kb(cluster.pid)
+        asyncio.run(send_requests(cluster, 8, None, make_histogram()))
+        initial_kb = read_rss_kb(cluster.pid)
         for _ in range(3):
-            asyncio.run(drive(cluster, 8, None, new_histogram()))
-        grown = read_rss_kb(cluster.pid) - before
-    return {'rss_kb_per_request_held': round(grown / 3 / FLAGS.requests, 2)}
+            asyncio.run(send_requests(cluster, 8, None, make_histogram()))
+        growth_kb = read_rss_kb(cluster.pid) - initial_kb
+    return {
+        'rss_kb_per_request_held': round(growth_kb / 3 / FLAGS.requests, 2)
+    }
 
 
 def main(argv):
--- a/scripts/fleet.sh
+++ b/scripts/fleet.sh
@@ -1,6 +1,6 @@
-# Sourced by the scripts that start a local fleet: every process is
-# started here, by the shell, since no pearrun process starts another,
-# and stopped on exit or Ctrl-C.
+# Sourced by the scripts that start a local fleet.  Processes are started
+# with `start`, since no pearrun process starts another, and are stopped on
+# exit or Ctrl-C.
 bin=.venv/bin
 pids=()
 stop() {
@@ -9,7 +9,7 @@
 }
 trap stop EXIT INT TERM
 mkdir -p "$logs"
-# start NAME COMMAND...: start a process, its output in a file.
+# start NAME COMMAND...: starts a process with its output in $logs/NAME.log.
 start() {
     local name=$1
     shift
