--- a/benchmarks/reclaim.py
+++ b/benchmarks/reclaim.py
@@ -4,7 +4,7 @@
 requests within the first seconds (drafts, whose long prompts share a
 prefix, and non-idempotent renewal charges), announces the reclaim of one
 zone, and kills every process there before the notice period ends.  This is
-repeated for all combinations of two settings: whether the KV cache of
+run four times, for all combinations of two settings: whether the KV cache of
 running streams is moved out of the zone, and whether their tokens are saved
 in the journal.  Prints JSON: numbers of requests accepted, answered
 completely, lost, and executed more than once, and the ratio of recomputed
