--- a/tests/soak/checks.py
+++ b/tests/soak/checks.py
@@ -1,19 +1,21 @@
-"""What must hold in every soak, from what callers and back ends saw.
-
-- An answer is whole and the caller's own, or visibly broken off.
-- A non-idempotent call runs once at the most, and not at all when its
-  caller is told so.
-- Planned work (stops, hang-ups, new configurations) and trouble of the
-  store or the API lose no call that an endpoint has begun.
+"""Invariants of every soak run, checked on what callers and back ends saw.
+
+- A response is complete and belongs to the caller's request, or is visibly
+  cut off.
+- A non-idempotent call runs at most once, and not at all if its caller is
+  told so.
+- Planned operations (stops, SIGHUP, new configurations) and failures of the
+  store or the API lose no call that an endpoint has begun to run.
 - A call ends by its deadline.
-- Nothing new reaches an endpoint that said it leaves.
-- Duties: one report a window, fencing numbers that only grow, and no two
-  holders by turns within a lease.
-- A request that crashed three endpoints is not sent to many more, and no
-  other request is refused for it.
-- No process ends by itself.
-- Once all is well, every host serves, with the newest configuration, and
-  one of them holds the duties' lease.
+- An endpoint that is draining receives no new calls.
+- Duties: all reports of a usage window are equal, fencing tokens never
+  decrease, and two hosts do not alternate as holder within the duration of a
+  lease.
+- A request that crashed three endpoints is sent to few more, and no other
+  request is refused because of it.
+- No process exits unless it was told to.
+- After all faults have ended, every host serves calls and has the newest
+  configuration, and one of them holds the lease on the duties.
 """
 
 import dataclasses
@@ -21,50 +23,63 @@
 
 from tests.soak import faults
 
-# A host that was killed or paused, or an endpoint in trouble, may show it
-# this much later: silence limits, and calls that were waiting.
+# A fault may still affect calls this long after its end: connections that
+# went silent have yet to time out, and calls may have been waiting.
 AFTERMATH_MS = 2500
-PROMISES = (408, 421, 429, 503)
-# A drain must be known everywhere after this long.
-DRAIN_MS = 2000
-# Two holders must not alternate within this.
+# Status codes that tell the caller that the call has not run.
+NOT_RUN_STATUSES = (408, 421, 429, 503)
+# Every host must know within this time that an endpoint is draining.
+DRAIN_PROPAGATION_MS = 2000
+# Two holders must not alternate within this time.
 LEASE_MS = 3000
-# Calls that were under way when their sender was paused do not count.
-THAW_MS = 300
-# A request that crashed so many endpoints is known by every host so much
-# later, and sent on so often at the most.
-CRASHES_KNOWN = 3
-CRASH_KNOWN_MS = 3000
-LATE_CRASHES = 3
-QUARANTINED = b'"code": 1409'
-# A stop that was asked for: finished, killed after its grace time, or
-# asked for before the program could take the signal.
-EXPECTED_CODES = (0, -9, -15)
+# Calls to the API are not checked until this long after their sender was
+# paused or cut off: they may have been in progress at that time.
+RESUME_MS = 300
+# After this many endpoints crashed under a request, every host must know of
+# the crashes within CRASH_PROPAGATION_MS; after that, the request may reach
+# endpoints at most MAX_LATE_SENDS times.
+QUARANTINE_CRASHES = 3
+CRASH_PROPAGATION_MS = 3000
+MAX_LATE_SENDS = 3
+QUARANTINED_CODE = b'"code": 1409'
+# Exit codes of a requested stop: finished, killed after the grace period, or
+# ended by SIGTERM before the program had installed its handler.
+EXPECTED_EXIT_CODES = (0, -9, -15)
 
 
 @dataclasses.dataclass(frozen=True)
 class Finding:
-    """A promise that was broken."""
+    """A violated invariant."""
 
     check: str
-    what: str
+    message: str
 
 
 @dataclasses.dataclass
 class Evidence:
-    """What one run leaves for the checks.
-
-    :param played: :class:`TimedFault` with monotonic times.
-    :param lease_renewed: whether the lease was written once all was well.
+    """What a run recorded for the checks.
+
+    :param records: :class:`CallRecord` of each call made during the run.
+    :param runners: every endpoint that was started.
+    :param drain_start_ms: when an endpoint began to drain, by endpoint id.
+    :param api_calls: the duties' calls to the API.
+    :param exits: a list of :class:`Exit` for each host.
+    :param injected: :class:`TimedFault` with monotonic times.
+    :param recovery_calls: :class:`CallRecord` of each call made after all
+        faults had ended.
+    :param lease_renewed: whether the lease was renewed after all faults had
+        ended.
+    :param crash_calls: :class:`CallRecord` of each call that crashes
+        endpoints.
     """
 
     records: list
     runners: list
-    left_ms: dict
+    drain_start_ms: dict
     api_calls: list
     exits: dict
-    played: list
-    last_calls: list
+    injected: list
+    recovery_calls: list
     lease_renewed: bool
     crash_calls: list = dataclasses.field(default_factory=list)
 
@@ -77,115 +92,131 @@
     checks = (
         check_answers,
         check_runs,
-        check_lost,
-        check_ends,
+        check_lost_calls,
+        check_deadlines,
         check_drains,
         check_duties,
-        check_crashing,
-        check_quarantined,
+        check_crashing_request,
+        check_quarantine,
         check_exits,
-        check_last_calls,
+        check_recovery_calls,
         check_lease,
     )
     return [finding for check in checks for finding in check(evidence)]
 
 
 def check_answers(evidence):
-    """Answers are whole and the caller's own."""
-    for record in evidence.records + evidence.last_calls:
+    """Check that complete responses are correct and the caller's own."""
+    for record in evidence.records + evidence.recovery_calls:
         if not (record.status == 200 and record.complete):
             continue
         if record.kind.stream:
-            whole = list_event_ids(record.body) == list(range(1, 11))
+            is_correct = list_event_ids(record.body) == list(range(1, 11))
         else:
-            whole = record.body == f'answer to {record.target}'.encode()
-        if not whole:
-            yield Finding('answers', f'not whole: {record}')
+            is_correct = record.body == f'answer to {record.target}'.encode()
+        if not is_correct:
+            yield Finding('answers', f'wrong body: {record}')
         if not (record.seal or '').endswith(f'.{record.attempt}'):
-            yield Finding('answers', f'of another call: {record}')
+            yield Finding('answers', f'response to another call: {record}')
 
 
 def check_runs(evidence):
-    """At most once, and never after a promise that it has not run."""
+    """Check that calls run at most once, and never if reported as not run."""
     runs = count_runs(evidence)
     for record in evidence.records:
         count = runs.get(record.attempt, 0)
-        if record.kind.once and count > 1:
+        if record.kind.at_most_once and count > 1:
             yield Finding('runs', f'{count} runs: {record}')
-        if record.kind.once and count and record.status in PROMISES:
-            yield Finding('runs', f'ran after a promise: {record}')
+        if (
+            record.kind.at_most_once
+            and count
+            and record.status in NOT_RUN_STATUSES
+        ):
+            yield Finding('runs', f'ran but reported as not run: {record}')
+
 
+def check_lost_calls(evidence):
+    """Check that planned operations cut off no call that has begun to run.
 
-def check_lost(evidence):
-    """No call that an endpoint began is cut by planned work."""
+    Calls that a fault of their host or of an endpoint may have cut off are
+    not checked.
+    """
     runs = count_runs(evidence)
     for record in evidence.records:
-        if record.complete or record.hung or not runs.get(record.attempt):
+        if record.complete or record.timed_out or not runs.get(record.attempt):
             continue
-        if host_troubled(evidence, record):
+        if had_host_fault(evidence, record):
             continue
-        if record.status and endpoints_troubled(evidence, record):
+        if record.status and had_endpoint_fault(evidence, record):
             continue
-        yield Finding('lost', f'cut: {record}')
+        yield Finding('lost', f'response cut off: {record}')
 
 
-def check_ends(evidence):
-    """Every call ends by its deadline."""
+def check_deadlines(evidence):
+    """Check that every call ends by its deadline."""
     for record in evidence.records:
-        if record.hung and not host_troubled(evidence, record):
-            yield Finding('ends', f'no end: {record}')
+        if record.timed_out and not had_host_fault(evidence, record):
+            yield Finding('deadlines', f'no response in time: {record}')
 
 
 def check_drains(evidence):
-    """Nothing new reaches an endpoint that said it leaves."""
+    """Check that draining endpoints receive no new calls."""
     for runner in evidence.runners:
-        left_ms = evidence.left_ms.get(runner.id)
-        if left_ms is None or store_troubled(evidence, left_ms):
+        drain_start_ms = evidence.drain_start_ms.get(runner.id)
+        if drain_start_ms is None or had_store_fault(evidence, drain_start_ms):
             continue
         for run in runner.runs:
-            late_ms = run.request.received_ms - left_ms
-            if late_ms > DRAIN_MS:
-                yield Finding('drains', f'{runner.id}: {late_ms} ms late')
+            late_ms = run.request.received_ms - drain_start_ms
+            if late_ms > DRAIN_PROPAGATION_MS:
+                yield Finding(
+                    'drains',
+                    f'{runner.id}: new call {late_ms} ms after it began to '
+                    'drain',
+                )
 
 
 def check_duties(evidence):
-    """Usage is reported once, by holders in order."""
+    """Check usage reports, fencing tokens and changes of the holder."""
     reports = {}
     calls = [
         call
         for call in evidence.api_calls
-        if not just_thawed(evidence, call.holder, call.at_ms)
+        if not had_sender_fault(evidence, call.holder, call.at_ms)
     ]
     for call in calls:
         if call.path != '/usage':
             continue
         window = call.body['window_no']
         if reports.setdefault(window, call.body) != call.body:
-            yield Finding('duties', f'two reports of window {window}')
+            yield Finding('duties', f'different reports of window {window}')
     for earlier, later in zip(calls, calls[1:], strict=False):
         if later.fencing < earlier.fencing:
-            yield Finding('duties', f'older token: {earlier} {later}')
-        shared = later.fencing == earlier.fencing
-        if shared and later.holder != earlier.holder:
-            yield Finding('duties', f'shared token: {earlier} {later}')
-    yield from check_turns(calls)
-
-
-def check_turns(calls):
-    """No holder comes back within a lease after another one acted."""
+            yield Finding(
+                'duties', f'fencing token decreased: {earlier} {later}'
+            )
+        same_token = later.fencing == earlier.fencing
+        if same_token and later.holder != earlier.holder:
+            yield Finding(
+                'duties', f'two holders of one token: {earlier} {later}'
+            )
+    yield from check_alternation(calls)
+
+
+def check_alternation(calls):
+    """Check that two holders do not alternate within a lease's duration."""
     last_ms = {}
     previous = None
     for call in calls:
         if previous is not None and call.holder != previous:
             since_ms = call.at_ms - last_ms.get(call.holder, -LEASE_MS)
             if since_ms < LEASE_MS:
-                yield Finding('duties', f'by turns: {call}')
+                yield Finding('duties', f'holders alternate: {call}')
         last_ms[call.holder] = call.at_ms
         previous = call.holder
 
 
-def check_crashing(evidence):
-    """A request that crashes endpoints is stopped."""
+def check_crashing_request(evidence):
+    """Check that a request that crashes endpoints is quarantined."""
     hosts = {record.attempt: record.host for record in evidence.crash_calls}
     sends = sorted(
         (run.request.received_ms, hosts[attempt])
@@ -193,53 +224,53 @@
         for run in runner.runs
         if (attempt := run.request.get(b'pearrun-attempt-id')) in hosts
     )
-    if len(sends) < CRASHES_KNOWN:
+    if len(sends) < QUARANTINE_CRASHES:
         return
-    known_ms = sends[CRASHES_KNOWN - 1][0] + CRASH_KNOWN_MS
+    known_ms = sends[QUARANTINE_CRASHES - 1][0] + CRASH_PROPAGATION_MS
     late = [
         f'{host} at {at_ms - known_ms} ms'
         for at_ms, host in sends
-        if at_ms > known_ms and in_touch(evidence, host, at_ms)
+        if at_ms > known_ms and could_receive_reports(evidence, host, at_ms)
     ]
-    if len(late) > LATE_CRASHES:
+    if len(late) > MAX_LATE_SENDS:
         yield Finding('crashing', f'{len(sends)} sends, late: {late}')
 
 
-def check_quarantined(evidence):
-    """No good call is refused because endpoints crashed."""
-    for record in evidence.records + evidence.last_calls:
-        if record.status == 503 and QUARANTINED in record.body:
-            yield Finding('quarantined', f'refused: {record}')
+def check_quarantine(evidence):
+    """Check that no harmless call is refused as quarantined."""
+    for record in evidence.records + evidence.recovery_calls:
+        if record.status == 503 and QUARANTINED_CODE in record.body:
+            yield Finding('quarantine', f'harmless call refused: {record}')
 
 
 def check_exits(evidence):
-    """No process ends by itself.
+    """Check that no process exits unless it was told to.
 
-    One that SIGHUP reached before its program ran had accepted nothing,
-    and no program can prevent that end.
+    An exit because of SIGHUP before the program ran is accepted: the process
+    had accepted no connection yet, and no program can prevent it.
     """
     for name, exits in evidence.exits.items():
         for item in exits:
-            if item.too_early and item.code == -signal.SIGHUP:
+            if item.sighup_at_startup and item.code == -signal.SIGHUP:
                 continue
-            if not item.asked or item.code not in EXPECTED_CODES:
+            if not item.requested or item.code not in EXPECTED_EXIT_CODES:
                 yield Finding('exits', f'{name} ended with {item}')
 
 
-def check_last_calls(evidence):
-    """Once all is well, every call is served."""
-    for record in evidence.last_calls:
+def check_recovery_calls(evidence):
+    """Check that every call is served after all faults have ended."""
+    for record in evidence.recovery_calls:
         if record.status != 200 or not record.complete:
             yield Finding('recovery', f'not served: {record}')
 
 
 def check_lease(evidence):
-    """Once all is well, a host performs the duties."""
+    """Check that a host holds the duties' lease after all faults ended."""
     if not evidence.lease_renewed:
-        yield Finding('recovery', 'nobody renews the lease')
+        yield Finding('recovery', 'no host renews the lease')
 
 
-# what a call may be excused by
+# queries on the evidence
 
 
 def count_runs(evidence):
@@ -252,70 +283,82 @@
     return runs
 
 
-def overlapping(evidence, begin_ms, end_ms):
-    """Return the faults whose time or aftermath meets a span."""
+def list_faults_in(evidence, begin_ms, end_ms):
+    """Return the faults that may have had an effect within a period."""
     return [
         timed.fault
-        for timed in evidence.played
-        if timed.at_ms <= end_ms and timed.end_ms + AFTERMATH_MS >= begin_ms
+        for timed in evidence.injected
+        if timed.start_ms <= end_ms and timed.end_ms + AFTERMATH_MS >= begin_ms
     ]
 
 
-def host_troubled(evidence, record):
-    """Say whether a call's host was killed or paused around it."""
+def had_host_fault(evidence, record):
+    """Return whether a call's host was killed or paused around the call."""
     return any(
         isinstance(fault, faults.KillHost | faults.PauseHost)
         and fault.host == record.host
-        for fault in overlapping(evidence, record.began_ms, record.ended_ms)
+        for fault in list_faults_in(
+            evidence, record.started_ms, record.ended_ms
+        )
     )
 
 
-def endpoints_troubled(evidence, record):
-    """Say whether an endpoint was in trouble around a call."""
+def had_endpoint_fault(evidence, record):
+    """Return whether any endpoint had a fault around a call."""
     return any(
-        isinstance(fault, faults.SpoilEndpoint)
+        isinstance(fault, faults.DisruptEndpoint)
         or (
-            isinstance(fault, faults.BreakLink)
+            isinstance(fault, faults.DisruptLink)
             and fault.link.startswith('endpoint-')
         )
         or isinstance(fault, faults.ReplaceEndpoint | faults.CrashEndpoint)
-        for fault in overlapping(evidence, record.began_ms, record.ended_ms)
+        for fault in list_faults_in(
+            evidence, record.started_ms, record.ended_ms
+        )
     )
 
 
-def in_touch(evidence, host, at_ms):
-    """Say whether nothing troubled a host and the store before a moment."""
+def could_receive_reports(evidence, host, at_ms):
+    """Return whether a host could learn of crashes before a point in time.
+
+    It could if neither the host nor the store, nor the link between them,
+    had a fault for ``CRASH_PROPAGATION_MS``.
+    """
     return not any(
         getattr(fault, 'host', None) == host
-        or isinstance(fault, faults.FailStore | faults.ForgetHistory)
+        or isinstance(fault, faults.FailStore | faults.CompactStore)
         or getattr(fault, 'link', '') == f'store-{host}'
-        for fault in overlapping(evidence, at_ms - CRASH_KNOWN_MS, at_ms)
+        for fault in list_faults_in(
+            evidence, at_ms - CRASH_PROPAGATION_MS, at_ms
+        )
     )
 
 
-def store_troubled(evidence, at_ms):
-    """Say whether a host could not read the store around a moment."""
+def had_store_fault(evidence, at_ms):
+    """Return whether any host may not have read the store after a time."""
     return any(
         isinstance(
             fault,
             faults.FailStore
             | faults.PauseHost
-            | faults.ForgetHistory
+            | faults.CompactStore
             | faults.KillHost,
         )
         or (
-            isinstance(fault, faults.BreakLink)
+            isinstance(fault, faults.DisruptLink)
             and fault.link.startswith('store-')
         )
-        for fault in overlapping(evidence, at_ms, at_ms + DRAIN_MS)
+        for fault in list_faults_in(
+            evidence, at_ms, at_ms + DRAIN_PROPAGATION_MS
+        )
     )
 
 
-def just_thawed(evidence, holder, at_ms):
-    """Say whether a call's sender had just been paused or cut off."""
+def had_sender_fault(evidence, holder, at_ms):
+    """Return whether a call's sender had a fault at or just before a time."""
     return any(
-        timed.at_ms <= at_ms <= timed.end_ms + THAW_MS
-        for timed in evidence.played
+        timed.start_ms <= at_ms <= timed.end_ms + RESUME_MS
+        for timed in evidence.injected
         if getattr(timed.fault, 'host', None) == holder
         or getattr(timed.fault, 'link', '').endswith(f'-{holder}')
     )
--- a/tests/soak/faults.py
+++ b/tests/soak/faults.py
@@ -1,4 +1,4 @@
-"""What the soak does to a site, one type each."""
+"""The faults and operations that a soak injects, one type each."""
 
 import dataclasses
 import enum
@@ -8,121 +8,130 @@
 
 @dataclasses.dataclass(frozen=True)
 class StopHost:
-    """SIGTERM to an entry host; it is started again when it has ended."""
+    """SIGTERM to an entry host, which is restarted after it has exited."""
 
     host: str
 
 
 @dataclasses.dataclass(frozen=True)
 class KillHost:
-    """SIGKILL to an entry host; it is started again."""
+    """SIGKILL to an entry host, which is then restarted."""
 
     host: str
 
 
 @dataclasses.dataclass(frozen=True)
 class PauseHost:
-    """SIGSTOP to an entry host, SIGCONT after ``for_ms``."""
+    """SIGSTOP to an entry host, SIGCONT after ``duration_ms``."""
 
     host: str
-    for_ms: int
+    duration_ms: int
 
 
 @dataclasses.dataclass(frozen=True)
-class HangUpHost:
-    """SIGHUP to an entry host."""
+class ReloadHost:
+    """SIGHUP to an entry host, which makes it reload its settings."""
 
     host: str
 
 
 @dataclasses.dataclass(frozen=True)
-class BreakLink:
-    """A link carries bytes otherwise for ``for_ms``."""
+class DisruptLink:
+    """A network link is in a faulty mode for ``duration_ms``."""
 
     link: str
     mode: LinkMode
-    for_ms: int
+    duration_ms: int
 
 
 @dataclasses.dataclass(frozen=True)
 class FailStore:
-    """The store answers with an error, or not at all, for ``for_ms``.
+    """The store responds with errors, or not at all, for ``duration_ms``.
 
-    :param status: the error's status; 0 for no answers.
+    :param status: status code of the errors; 0 for no responses.
     """
 
     status: int
-    for_ms: int
+    duration_ms: int
 
 
 @dataclasses.dataclass(frozen=True)
-class LoseStoreAnswers:
-    """Some appends happen and are not answered."""
+class LoseStoreResponses:
+    """The store performs the next ``count`` appends but does not respond."""
 
     count: int
 
 
 @dataclasses.dataclass(frozen=True)
-class ForgetHistory:
-    """The store drops its history; the newest records stay."""
+class CompactStore:
+    """The store deletes its history; the newest record of each key stays."""
 
 
 class EndpointFault(enum.Enum):
     """Faults of one endpoint; the values are fields of RunnerFaults."""
 
     FULL = 'full'
-    RESET = 'reset_before'
-    TORN = 'torn'
-    TRUNCATED = 'truncate'
-    EXTRA = 'extra'
-    STRAY = 'stray_first'
+    RESET_BEFORE_RESPONSE = 'reset_before'
+    PARTIAL_EVENT = 'torn'
+    TRUNCATED_RESPONSE = 'truncate'
+    EXTRA_RESPONSE = 'extra'
+    STRAY_RESPONSE_FIRST = 'stray_first'
 
 
 @dataclasses.dataclass(frozen=True)
-class SpoilEndpoint:
-    """An endpoint's answers go wrong for ``for_ms``."""
+class DisruptEndpoint:
+    """An endpoint has a fault for ``duration_ms``.
+
+    :param endpoint: name of the replica that the endpoint runs as.
+    """
 
     endpoint: str
     fault: EndpointFault
-    for_ms: int
+    duration_ms: int
 
 
 @dataclasses.dataclass(frozen=True)
 class ReplaceEndpoint:
-    """An endpoint leaves and another one comes.
+    """An endpoint ends and another one replaces it.
 
-    :param announced: whether it says so and finishes its work; otherwise
-        it breaks off and its entry goes a little later.
-    :param same_address: whether the other one gets its address.
+    :param endpoint: name of the replica that the endpoint runs as.
+    :param drained: whether the endpoint announces that it is draining and
+        finishes its calls; if not, it ends at once and its entry is removed
+        from the store a little later.
+    :param same_address: whether its replacement has the same address.
     """
 
     endpoint: str
-    announced: bool
+    drained: bool
     same_address: bool
 
 
 @dataclasses.dataclass(frozen=True)
 class CrashEndpoint:
-    """A request crashed an endpoint; another one comes a little later."""
+    """A request crashed an endpoint, which is replaced a little later."""
 
 
 @dataclasses.dataclass(frozen=True)
 class ChangeRoutes:
-    """A newer configuration adds a route and drops the one before."""
+    """A new configuration adds a route and removes the previous one."""
 
 
-# Faults that are planned work: no call may be lost for them.
-PLANNED = (StopHost, HangUpHost, ChangeRoutes)
+# Planned operations: no call may be lost because of them.
+PLANNED_OPERATIONS = (StopHost, ReloadHost, ChangeRoutes)
 
 
 @dataclasses.dataclass(frozen=True)
 class TimedFault:
-    """A fault and when it begins, in milliseconds from the start."""
+    """A fault and its start time.
+
+    :param start_ms: milliseconds since the start of the run in a
+        :class:`Plan`; monotonic time in an :class:`Evidence`.
+    """
 
-    at_ms: int
+    start_ms: int
     fault: object
 
     @property
     def end_ms(self):
-        """When the fault itself is over."""
-        return self.at_ms + getattr(self.fault, 'for_ms', 0)
+        """The time at which the fault itself ends."""
+        return self.start_ms + getattr(self.fault, 'duration_ms', 0)
--- a/tests/soak/plan.py
+++ b/tests/soak/plan.py
@@ -1,4 +1,4 @@
-"""Draws a run's faults from its seed."""
+"""Generation of a run's faults from its seed."""
 
 import dataclasses
 import random
@@ -6,21 +6,23 @@
 from pearrun.standins.link import LinkMode
 from tests.soak import faults
 
-# Longest fault: longer than the lease, the silence limits and a pause
-# between reads of the store.
-LONGEST_MS = 4500
-SHORTEST_MS = 300
-# Calm at the begin, until the hosts know each other, and at the end.
-CALM_BEGIN_MS = 2500
-# Mean time between two faults; most last longer, so they overlap.
-BETWEEN_MS = 900
+# Longest duration of a fault: longer than the lease, the time-outs of silent
+# connections and the interval between reads of the store.
+MAX_DURATION_MS = 4500
+MIN_DURATION_MS = 300
+# No faults for this long at the start, until the hosts know each other.
+INITIAL_CALM_MS = 2500
+# Mean interval between the starts of two faults; most last longer, so that
+# they overlap.
+MEAN_INTERVAL_MS = 900
 
 
 @dataclasses.dataclass(frozen=True)
 class Plan:
-    """What one run plays.
+    """The faults of one run.
 
-    :param length_ms: how long calls are sent.
+    :param length_ms: how long faults are injected; none starts within the
+        last ``MAX_DURATION_MS``.
     """
 
     seed: int
@@ -30,56 +32,56 @@
     faults: tuple[faults.TimedFault, ...]
 
 
-def draw_plan(seed, length_ms, hosts, endpoints):
-    """Draw a plan; the same seed and site give the same one.
+def generate_plan(seed, length_ms, hosts, endpoints):
+    """Generate a plan; equal arguments give equal plans.
 
     :param hosts: names of the entry hosts.
-    :param endpoints: names of the endpoints' places.
+    :param endpoints: names of the endpoints' replicas.
     :returns: a :class:`Plan`.
     """
     rng = random.Random(seed)
-    drawn = []
-    at_ms = CALM_BEGIN_MS
-    while at_ms < length_ms - LONGEST_MS:
-        drawn.append(
-            faults.TimedFault(at_ms, draw_fault(rng, hosts, endpoints))
+    timed = []
+    start_ms = INITIAL_CALM_MS
+    while start_ms < length_ms - MAX_DURATION_MS:
+        timed.append(
+            faults.TimedFault(start_ms, choose_fault(rng, hosts, endpoints))
         )
-        at_ms += int(rng.expovariate(1 / BETWEEN_MS))
-    return Plan(seed, length_ms, tuple(hosts), tuple(endpoints), tuple(drawn))
+        start_ms += int(rng.expovariate(1 / MEAN_INTERVAL_MS))
+    return Plan(seed, length_ms, tuple(hosts), tuple(endpoints), tuple(timed))
 
 
-def draw_fault(rng, hosts, endpoints):
-    """Draw one fault."""
-    for_ms = rng.randint(SHORTEST_MS, LONGEST_MS)
+def choose_fault(rng, hosts, endpoints):
+    """Choose a fault at random, by weight."""
+    duration_ms = rng.randint(MIN_DURATION_MS, MAX_DURATION_MS)
     host = rng.choice(hosts)
     endpoint = rng.choice(endpoints)
     links = [f'{kind}-{name}' for name in hosts for kind in ('store', 'api')]
     links += [f'endpoint-{name}' for name in endpoints]
     modes = [mode for mode in LinkMode if mode is not LinkMode.OPEN]
-    makers = {
+    factories = {
         faults.StopHost: (3, lambda: faults.StopHost(host)),
         faults.KillHost: (2, lambda: faults.KillHost(host)),
-        faults.PauseHost: (2, lambda: faults.PauseHost(host, for_ms)),
-        faults.HangUpHost: (1, lambda: faults.HangUpHost(host)),
-        faults.BreakLink: (
+        faults.PauseHost: (2, lambda: faults.PauseHost(host, duration_ms)),
+        faults.ReloadHost: (1, lambda: faults.ReloadHost(host)),
+        faults.DisruptLink: (
             5,
-            lambda: faults.BreakLink(
-                rng.choice(links), rng.choice(modes), for_ms
+            lambda: faults.DisruptLink(
+                rng.choice(links), rng.choice(modes), duration_ms
             ),
         ),
         faults.FailStore: (
             1,
-            lambda: faults.FailStore(rng.choice((0, 429, 503)), for_ms),
+            lambda: faults.FailStore(rng.choice((0, 429, 503)), duration_ms),
         ),
-        faults.LoseStoreAnswers: (
+        faults.LoseStoreResponses: (
             1,
-            lambda: faults.LoseStoreAnswers(rng.randint(1, 4)),
+            lambda: faults.LoseStoreResponses(rng.randint(1, 4)),
         ),
-        faults.ForgetHistory: (1, faults.ForgetHistory),
-        faults.SpoilEndpoint: (
+        faults.CompactStore: (1, faults.CompactStore),
+        faults.DisruptEndpoint: (
             3,
-            lambda: faults.SpoilEndpoint(
-                endpoint, rng.choice(list(faults.EndpointFault)), for_ms
+            lambda: faults.DisruptEndpoint(
+                endpoint, rng.choice(list(faults.EndpointFault)), duration_ms
             ),
         ),
         faults.ReplaceEndpoint: (
@@ -90,6 +92,6 @@
         ),
         faults.ChangeRoutes: (2, faults.ChangeRoutes),
     }
-    weights = [weight for weight, _ in makers.values()]
-    kind = rng.choices(list(makers), weights)[0]
-    return makers[kind][1]()
+    weights = [weight for weight, _ in factories.values()]
+    kind = rng.choices(list(factories), weights)[0]
+    return factories[kind][1]()
--- a/tests/soak/play.py
+++ b/tests/soak/play.py
@@ -1,4 +1,4 @@
-"""Plays one plan and checks it."""
+"""One soak run: starts a site, injects a plan's faults, checks the result."""
 
 import asyncio
 import pathlib
@@ -12,16 +12,17 @@
 from tests.platformsite import wait_until
 from tests.soak import checks
 from tests.soak import faults
-from tests.soak.plan import draw_plan
-from tests.soak.site import Place
+from tests.soak.plan import generate_plan
+from tests.soak.site import Replica
 from tests.soak.site import SoakSite
 from tests.soak.traffic import CallKind
 from tests.soak.traffic import CRASHING_BODY
 from tests.soak.traffic import KINDS
 from tests.soak.traffic import Traffic
 
-HOSTS = 4
-PLACES = (
+DEFAULT_HOSTS = 4
+# Arguments of each Replica: name, service, zone.
+REPLICAS = (
     ('plain-a', 'plain', 'zone-a'),
     ('plain-b', 'plain', 'zone-b'),
     ('model-a', 'model', 'zone-a'),
@@ -29,16 +30,17 @@
     ('model-c', 'model', 'zone-b'),
 )
 CALLERS = 12
-START_S = 20
-# After the last fault: entries come back, silent connections are found,
-# pauses of endpoints end, the lease moves on.
-HEAL_S = 6
-# A holder writes its lease within this time, late ticks included.
-RENEWED_S = 2
+START_TIMEOUT_S = 20
+# Time to recover after the last fault: endpoints' entries are written again,
+# silent connections time out, endpoints are no longer avoided, and the lease
+# passes to another host.
+RECOVERY_S = 6
+# The holder renews the lease within this time, even if a check is delayed.
+LEASE_RENEWAL_S = 2
 
 
-class Player:
-    """Plays a plan's faults on a site.
+class FaultInjector:
+    """Injects a plan's faults into a site.
 
     :param site: the :class:`SoakSite`.
     """
@@ -46,143 +48,148 @@
     def __init__(self, site):
         self.site = site
         self.clock = Clock()
-        self.played = []
+        self.injected = []
 
-    async def play(self, plan):
-        """Begin each fault at its time; return when the last one ends."""
-        began_ms = self.clock.now()
-        under_way = []
+    async def run(self, plan):
+        """Start each fault at its time; return when all have ended."""
+        started_ms = self.clock.now()
+        tasks = []
         for timed in plan.faults:
-            wait_ms = began_ms + timed.at_ms - self.clock.now()
+            wait_ms = started_ms + timed.start_ms - self.clock.now()
             await asyncio.sleep(to_seconds(max(0, wait_ms)))
-            self.played.append(
+            self.injected.append(
                 faults.TimedFault(self.clock.now(), timed.fault)
             )
-            under_way.append(asyncio.create_task(self.act(timed.fault)))
-        await asyncio.gather(*under_way)
+            tasks.append(asyncio.create_task(self.inject(timed.fault)))
+        await asyncio.gather(*tasks)
 
-    async def act(self, fault):
-        """Do what a fault says; return when it is over."""
+    async def inject(self, fault):
+        """Inject a fault; return when it has ended."""
         site = self.site
         match fault:
             case faults.StopHost(host):
                 await site.hosts[host].stop()
             case faults.KillHost(host):
                 site.hosts[host].kill()
-            case faults.PauseHost(host, for_ms):
-                site.hosts[host].send(signal.SIGSTOP)
-                await asyncio.sleep(to_seconds(for_ms))
-                site.hosts[host].send(signal.SIGCONT)
-            case faults.HangUpHost(host):
-                site.hosts[host].send(signal.SIGHUP)
-            case faults.BreakLink(name, mode, for_ms):
+            case faults.PauseHost(host, duration_ms):
+                site.hosts[host].send_signal(signal.SIGSTOP)
+                await asyncio.sleep(to_seconds(duration_ms))
+                site.hosts[host].send_signal(signal.SIGCONT)
+            case faults.ReloadHost(host):
+                site.hosts[host].send_signal(signal.SIGHUP)
+            case faults.DisruptLink(name, mode, duration_ms):
                 link = site.links[name]
                 await link.set_mode(mode)
-                await asyncio.sleep(to_seconds(for_ms))
+                await asyncio.sleep(to_seconds(duration_ms))
                 await link.set_mode(LinkMode.OPEN)
-            case faults.FailStore(status, for_ms):
+            case faults.FailStore(status, duration_ms):
                 store_faults = site.store.faults
                 store_faults.status = status
                 store_faults.silent = not status
-                await asyncio.sleep(to_seconds(for_ms))
+                await asyncio.sleep(to_seconds(duration_ms))
                 store_faults.status = 0
                 store_faults.silent = False
-            case faults.LoseStoreAnswers(count):
+            case faults.LoseStoreResponses(count):
                 site.store.faults.lose_answers += count
-            case faults.ForgetHistory():
+            case faults.CompactStore():
                 for name in list(site.store.topics):
                     site.store.forget_history(name)
-            case faults.SpoilEndpoint(endpoint, kind, for_ms):
-                place = site.places[endpoint]
-                site.spoil(place, kind, True)
-                await asyncio.sleep(to_seconds(for_ms))
-                site.spoil(place, kind, False)
-            case faults.ReplaceEndpoint(endpoint, announced, same_address):
-                place = site.places[endpoint]
-                await site.replace(place, announced, same_address)
+            case faults.DisruptEndpoint(endpoint, kind, duration_ms):
+                replica = site.replicas[endpoint]
+                site.set_endpoint_fault(replica, kind, True)
+                await asyncio.sleep(to_seconds(duration_ms))
+                site.set_endpoint_fault(replica, kind, False)
+            case faults.ReplaceEndpoint(endpoint, drained, same_address):
+                replica = site.replicas[endpoint]
+                await site.replace_endpoint(replica, drained, same_address)
             case faults.ChangeRoutes():
                 site.change_routes()
 
 
-async def play_seed(
-    seed, length_ms, directory=None, hosts=HOSTS, crashing=False
+async def run_seed(
+    seed, length_ms, directory=None, hosts=DEFAULT_HOSTS, crashing=False
 ):
-    """Play one seed.
+    """Run the soak with one seed.
 
-    :param length_ms: how long calls are sent.
-    :param hosts: how many entry hosts; above 16 they use hubs.
-    :param crashing: whether a request that crashes endpoints comes too.
-    :param directory: where logs go; by default a new folder.
+    :param length_ms: how long faults are injected.
+    :param directory: directory for logs; by default a new temporary one.
+    :param hosts: number of entry hosts; above 16 they use hubs.
+    :param crashing: whether a request that crashes endpoints is sent
+        repeatedly.
     :returns: ``(findings, evidence)``.
     """
     directory = pathlib.Path(directory or tempfile.mkdtemp(prefix='soak-'))
-    places = [Place(*place) for place in PLACES]
+    replicas = [Replica(*arguments) for arguments in REPLICAS]
     names = tuple(f'host-{number}' for number in range(1, hosts + 1))
-    site = SoakSite(directory, names, places)
-    plan = draw_plan(seed, length_ms, names, tuple(site.places))
-    player = Player(site)
+    site = SoakSite(directory, names, replicas)
+    plan = generate_plan(seed, length_ms, names, tuple(site.replicas))
+    injector = FaultInjector(site)
     traffic = Traffic(site, seed)
     if crashing:
         site.crash_on = CRASHING_BODY
     crash_calls = []
     try:
         await site.start()
-        await wait_until(lambda: is_up(site), START_S)
+        await wait_until(lambda: have_hosts_registered(site), START_TIMEOUT_S)
         if crashing:
-            site.spawn(site.restart_crashed())
-            crash_task = asyncio.create_task(traffic.crash_often())
-        calling = asyncio.create_task(traffic.run(CALLERS))
-        await player.play(plan)
-        await site.heal()
-        await asyncio.sleep(HEAL_S)
+            site.spawn(site.replace_crashed_endpoints())
+            crash_task = asyncio.create_task(traffic.repeat_crashing_request())
+        traffic_task = asyncio.create_task(traffic.run(CALLERS))
+        await injector.run(plan)
+        await site.clear_faults()
+        await asyncio.sleep(RECOVERY_S)
         traffic.stopped = True
-        await calling
+        await traffic_task
         if crashing:
             crash_calls = await crash_task
-        last_calls = await make_last_calls(site, traffic)
+        recovery_calls = await make_recovery_calls(site, traffic)
         renewed = await is_lease_renewed(site)
     finally:
         await site.stop()
     evidence = checks.Evidence(
         records=traffic.records,
         runners=list(site.runners.values()),
-        left_ms=site.left_ms,
+        drain_start_ms=site.drain_start_ms,
         api_calls=site.api.calls,
         exits={name: host.exits for name, host in site.hosts.items()},
-        played=[*player.played, *list_crashes(site)],
+        injected=[*injector.injected, *list_crash_faults(site)],
         crash_calls=crash_calls,
-        last_calls=last_calls,
+        recovery_calls=recovery_calls,
         lease_renewed=renewed,
     )
     return checks.check_all(evidence), evidence
 
 
-def list_crashes(site):
-    """Return the crashes of endpoints as faults that were played."""
+def list_crash_faults(site):
+    """Return the crashes of endpoints as faults with their times."""
     return [
         faults.TimedFault(at_ms, faults.CrashEndpoint())
-        for at_ms in site.crashed_ms
+        for at_ms in site.crash_times_ms
     ]
 
 
-def is_up(site):
-    """Say whether every host has announced itself."""
+def have_hosts_registered(site):
+    """Return whether every host has written its entry to the store."""
     return len(site.store.topic('keyed.hosts').newest) == len(site.host_names)
 
 
 async def is_lease_renewed(site):
-    """Say whether a host goes on writing the duties' lease."""
+    """Return whether a host renews the lease on the duties."""
     log = site.store.topic('duties')
     end = log.end
-    await asyncio.sleep(RENEWED_S)
+    await asyncio.sleep(LEASE_RENEWAL_S)
     return log.end > end
 
 
-async def make_last_calls(site, traffic):
-    """Call every host on a connection of its own, newest route too."""
+async def make_recovery_calls(site, traffic):
+    """Call every host on new connections, also on the newest route.
+
+    :returns: a list of :class:`CallRecord`, which are not added to the
+        traffic's own.
+    """
     newest = CallKind(f'/v{site.version}/', False, True)
     calls = []
-    for host, address in site.fronts.items():
+    for host, address in site.front_addresses.items():
         for kind in (newest, *KINDS):
             connection = await client.connect(address, 1000, 2000)
             record = await traffic.call(connection, host, kind)
--- a/tests/soak/process.py
+++ b/tests/soak/process.py
@@ -1,4 +1,4 @@
-"""An entry host that runs as a process of its own."""
+"""An entry host that runs as a separate process."""
 
 import asyncio
 import contextlib
@@ -11,33 +11,37 @@
 
 # The command of deploy/system.toml.
 COMMAND = (sys.executable, '-S', 'deploy/run_host.py')
-# Until an interpreter has reached the program's first line nothing can
-# stand between the process and a signal: 0.03 s, several times that on a
-# busy machine.
+# Until the interpreter executes the program's first line, which ignores
+# SIGHUP, the signal ends the process.  That takes 0.03 s, and several times as
+# long on a busy machine.
 INTERPRETER_START_S = 0.25
-# How soon an ended process is started again, as the platform does it.
-RESTART_S = 0.3
+# Delay before a process that has exited is restarted, as on the platform.
+RESTART_DELAY_S = 0.3
 
 
 @dataclasses.dataclass(frozen=True)
 class Exit:
-    """How a process ended, and whether it had been told to.
+    """How a process ended.
 
-    :param too_early: SIGHUP was sent to it before the interpreter had
-        reached the program, which ignores it in its first line.
+    :param requested: whether it had been told to end.
+    :param sighup_at_startup: whether SIGHUP was sent to it before the
+        interpreter executed the program's first line, which ignores it.
     """
 
     code: int
-    asked: bool
-    too_early: bool = False
+    requested: bool
+    sighup_at_startup: bool = False
 
 
 class HostProcess:
-    """Keeps one host's process running; signals go to its present one.
+    """Runs one host's process, and restarts it whenever it has exited.
+
+    Signals are sent to the current process.
 
     :param name: the host's name.
     :param settings_path: its settings file.
-    :param log_path: where its output goes, appended over its runs.
+    :param log_path: file that the output of all its processes is appended
+        to.
     :param grace_s: seconds between SIGTERM and SIGKILL.
     """
 
@@ -47,60 +51,63 @@
         self.log_path = str(log_path)
         self.grace_s = grace_s
         self.process = None
-        self.asked = False
-        self.too_early = False
+        self.exit_requested = False
+        self.sighup_at_startup = False
         self.started_s = 0.0
         self.closing = False
         self.exits = []
 
     async def run(self):
-        """Start the process whenever it is not running."""
+        """Run the process, and restart it until the host is closed."""
         environment = {**os.environ, 'PEARRUN_BOOT': self.settings_path}
         with open(self.log_path, 'ab') as log:
             while not self.closing:
-                self.asked = False
-                self.too_early = False
+                self.exit_requested = False
+                self.sighup_at_startup = False
                 self.started_s = time.monotonic()
                 self.process = await asyncio.create_subprocess_exec(
                     *COMMAND,
                     env=environment,
                     stdout=log,
                     stderr=log,
-                    preexec_fn=restore_hang_up,
+                    preexec_fn=restore_default_sighup,
                 )
                 code = await self.process.wait()
-                self.exits.append(Exit(code, self.asked, self.too_early))
-                await asyncio.sleep(RESTART_S)
+                self.exits.append(
+                    Exit(code, self.exit_requested, self.sighup_at_startup)
+                )
+                await asyncio.sleep(RESTART_DELAY_S)
 
-    def send(self, signal_number):
-        """Send a signal, if the process runs.
+    def send_signal(self, signal_number):
+        """Send a signal if the process is running.
 
-        Not through the process object: that looks for its end first, and
-        takes the exit code away from the task that waits for it.
+        ``os.kill`` is used instead of the process object: the object's method
+        polls for the exit first, which takes the exit code away from the task
+        that waits for it.
         """
         if self.process is not None and self.process.returncode is None:
             with contextlib.suppress(ProcessLookupError):
                 if signal_number == signal.SIGHUP and self.is_starting():
-                    self.too_early = True
+                    self.sighup_at_startup = True
                 os.kill(self.process.pid, signal_number)
 
     def is_starting(self):
-        """Say whether the program has not begun to run yet."""
+        """Return whether the program may not have ignored SIGHUP yet."""
         age_s = time.monotonic() - self.started_s
-        return age_s < INTERPRETER_START_S and not handles_hang_up(
+        return age_s < INTERPRETER_START_S and not handles_sighup(
             self.process.pid
         )
 
     def kill(self):
-        """End the process at once."""
-        self.asked = True
-        self.send(signal.SIGKILL)
+        """Kill the process."""
+        self.exit_requested = True
+        self.send_signal(signal.SIGKILL)
 
     async def stop(self):
-        """Ask the process to end; kill it after its grace time."""
+        """Terminate the process; kill it after the grace period."""
         process = self.process
-        self.asked = True
-        self.send(signal.SIGTERM)
+        self.exit_requested = True
+        self.send_signal(signal.SIGTERM)
         try:
             async with asyncio.timeout(self.grace_s):
                 await process.wait()
@@ -109,25 +116,26 @@
                 self.kill()
 
     async def close(self):
-        """End the process for good."""
+        """Kill the process and do not restart it."""
         self.closing = True
         self.kill()
-        # A stopped process ends only after it goes on.
-        self.send(signal.SIGCONT)
+        # Also resumes a process that SIGSTOP has paused, so that it can end.
+        self.send_signal(signal.SIGCONT)
         if self.process is not None:
             await self.process.wait()
 
 
-def restore_hang_up():
-    """Take SIGHUP as the platform's processes do, by ending.
+def restore_default_sighup():
+    """Restore the default action of SIGHUP, which ends the process.
 
-    A process inherits that it is ignored, as below ``nohup``.
+    Processes on the platform start with it.  A child process of one that
+    ignores SIGHUP, such as under ``nohup``, would ignore it too.
     """
     signal.signal(signal.SIGHUP, signal.SIG_DFL)
 
 
-def handles_hang_up(pid):
-    """Say whether a process ignores or catches SIGHUP.
+def handles_sighup(pid):
+    """Return whether a process ignores or catches SIGHUP.
 
     :raises ProcessLookupError: there is no such process.
     """
--- a/tests/soak/site.py
+++ b/tests/soak/site.py
@@ -1,4 +1,4 @@
-"""The site of a soak: stand-ins in this process, hosts in theirs."""
+"""The test site: stand-ins in this process, hosts as separate processes."""
 
 import asyncio
 import dataclasses
@@ -20,22 +20,29 @@
 from tests.soak.process import HostProcess
 
 GRACE_S = 4
-# Work of the endpoints: short enough for many calls in a run, long enough
-# that signals and cuts meet calls in the middle.
+# Response times of the endpoints: short enough for many calls per run, long
+# enough that signals and disconnections hit calls in progress.
 WORK_MS = 40
 EVENT_MS = 30
 EVENT_COUNT = 10
-# How long an endpoint serves after it said that it leaves.
-LINGER_S = 2.5
-# After an endpoint breaks off, its entry goes about this much later.
-LAPSE_S = 1.0
-# How often crashed endpoints are looked for.
+# How long a draining endpoint goes on serving before it ends.
+DRAIN_S = 2.5
+# The entry of an endpoint that ended without draining is removed from the
+# store after about this long.
+ENTRY_EXPIRY_S = 1.0
+# Interval between checks for crashed endpoints.
 CRASH_POLL_S = 0.02
 
 
 @dataclasses.dataclass
-class Place:
-    """Where one endpoint after the other serves."""
+class Replica:
+    """A replica of a service, run by one endpoint after another.
+
+    :param link: the link through which hosts reach the current endpoint.
+    :param runner: the current endpoint.
+    :param generation: number of the current endpoint, from 1 on.
+    :param restarting: whether a crashed endpoint is being replaced.
+    """
 
     name: str
     service: str
@@ -47,35 +54,35 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class HostPlace:
-    """Addresses that a host's settings name."""
+class PlatformAddresses:
+    """Addresses of the store and the API in a host's settings."""
 
     store_address: str
     api_address: str
 
 
 class SoakSite(StandinSite):
-    """A site whose hosts are processes and whose links can be broken.
+    """A site with hosts as processes, and links that can be disrupted.
 
-    :param directory: where settings files and logs go.
+    :param directory: directory for settings files and logs.
     :param hosts: names of the entry hosts.
-    :param places: :class:`Place` objects, still empty.
+    :param replicas: :class:`Replica` objects that have no endpoint yet.
     """
 
-    def __init__(self, directory, hosts, places):
+    def __init__(self, directory, hosts, replicas):
         super().__init__(
             f'127.0.0.1:{free_port()}', f'127.0.0.1:{free_port()}'
         )
         self.directory = pathlib.Path(directory)
         self.host_names = hosts
-        self.places = {place.name: place for place in places}
+        self.replicas = {replica.name: replica for replica in replicas}
         self.links = {}
         self.hosts = {}
-        self.fronts = {}
-        self.left_ms = {}
+        self.front_addresses = {}
+        self.drain_start_ms = {}
         self.version = 0
         self.crash_on = None
-        self.crashed_ms = []
+        self.crash_times_ms = []
         self.clock = Clock()
         self.tasks = set()
         self.ports = {
@@ -88,8 +95,8 @@
         """Start stand-ins, endpoints, links and hosts."""
         await super().start()
         self.change_routes()
-        for place in self.places.values():
-            await self.fill(place)
+        for replica in self.replicas.values():
+            await self.start_endpoint(replica)
         self.spawn(self.keep_beating())
         for number, name in enumerate(self.host_names, 1):
             await self.start_host(number, name)
@@ -97,17 +104,17 @@
     async def start_host(self, number, name):
         """Write a host's settings and start its process."""
         ip = f'127.{1 + os.getpid() % 250}.{number}.1'
-        place = HostPlace(
+        addresses = PlatformAddresses(
             await self.add_link(f'store-{name}', self.store_address),
             await self.add_link(f'api-{name}', self.api_address),
         )
         zone = 'zone-a' if number % 2 else 'zone-b'
         fields = make_settings_fields(
-            name, zone, ip, place, self.ports, grace_s=GRACE_S
+            name, zone, ip, addresses, self.ports, grace_s=GRACE_S
         )
         path = self.directory / f'{name}.toml'
         path.write_text(render_settings(fields))
-        self.fronts[name] = fields['listen']['front']
+        self.front_addresses[name] = fields['listen']['front']
         log_path = self.directory / f'{name}.log'
         self.hosts[name] = HostProcess(name, path, log_path, GRACE_S)
         self.spawn(self.hosts[name].run())
@@ -123,114 +130,120 @@
         return f'127.0.0.1:{port}'
 
     def spawn(self, coroutine):
-        """Run a coroutine beside the others; keep it until it ends."""
+        """Run a coroutine as a task; keep a reference until it ends."""
         task = asyncio.create_task(coroutine)
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
     # endpoints
 
-    async def fill(self, place, same_address=False):
-        """Start the next endpoint of a place and list it."""
-        place.generation += 1
-        name = f'{place.name}-{place.generation}'
-        runner = PlatformRunner(name, place.service, place.zone)
+    async def start_endpoint(self, replica, same_address=False):
+        """Start a replica's next endpoint and write its entry."""
+        replica.generation += 1
+        name = f'{replica.name}-{replica.generation}'
+        runner = PlatformRunner(name, replica.service, replica.zone)
         runner.work_ms = WORK_MS
         runner.event_ms = EVENT_MS
         runner.event_count = EVENT_COUNT
-        runner.faults = self.make_faults()
+        runner.faults = self.make_base_faults()
         if same_address:
-            await runner.listen(place.link.config.target)
+            await runner.listen(replica.link.config.target)
         else:
             await runner.listen(f'127.0.0.1:{free_port()}')
-            await self.add_link(f'endpoint-{place.name}', runner.address)
-            place.link = self.links[f'endpoint-{place.name}']
-        place.runner = self.runners[name] = runner
+            await self.add_link(f'endpoint-{replica.name}', runner.address)
+            replica.link = self.links[f'endpoint-{replica.name}']
+        replica.runner = self.runners[name] = runner
         self.list_runner(runner)
 
     def list_runner(self, runner):
-        """Write an endpoint's entry, with its link's address."""
-        place = self.places[runner.id.rpartition('-')[0]]
-        port = place.link.config.listen_port
+        """Write an endpoint's entry, with the address of its link."""
+        replica = self.replicas[runner.id.rpartition('-')[0]]
+        port = replica.link.config.listen_port
         entry = {**runner.entry(), 'addr': f'127.0.0.1:{port}'}
         self.store.put('servers', runner.id, entry)
 
-    async def replace(self, place, announced, same_address):
-        """Have a place's endpoint leave and the next one come."""
-        runner = place.runner
-        if announced:
+    async def replace_endpoint(self, replica, drained, same_address):
+        """End a replica's endpoint and start the next one.
+
+        :param drained: whether the endpoint drains before it ends.
+        :param same_address: whether the next one has the same address.
+        """
+        runner = replica.runner
+        if drained:
             runner.state = 'draining'
             self.list_runner(runner)
-            self.left_ms[runner.id] = self.clock.now()
+            self.drain_start_ms[runner.id] = self.clock.now()
             if not same_address:
-                await self.fill(place)
-            await asyncio.sleep(LINGER_S)
-        await self.end_runner(runner)
-        if not announced:
-            await asyncio.sleep(LAPSE_S)
+                await self.start_endpoint(replica)
+            await asyncio.sleep(DRAIN_S)
+        await self.end_endpoint(runner)
+        if not drained:
+            await asyncio.sleep(ENTRY_EXPIRY_S)
         self.store.put('servers', runner.id, None)
-        if place.runner is runner:
-            await self.fill(place, same_address)
+        if replica.runner is runner:
+            await self.start_endpoint(replica, same_address)
 
-    async def end_runner(self, runner):
-        """End an endpoint; what it still runs breaks off."""
+    async def end_endpoint(self, runner):
+        """End an endpoint, aborting the calls in progress on it."""
         runner.end()
         await runner.server.listener.wait_closed()
 
-    def make_faults(self):
-        """Return the faults of a sound endpoint."""
+    def make_base_faults(self):
+        """Return the faults of an endpoint that is not disrupted."""
         return RunnerFaults(crash_on=self.crash_on)
 
-    async def restart_crashed(self):
-        """Start crashed endpoints anew, for the site's whole life."""
+    async def replace_crashed_endpoints(self):
+        """Replace crashed endpoints until cancelled."""
         while True:
             await asyncio.sleep(CRASH_POLL_S)
-            for place in self.places.values():
-                if place.runner.crashed_by and not place.restarting:
-                    place.restarting = True
-                    self.crashed_ms.append(place.runner.ended_ms)
-                    self.spawn(self.restart(place, place.runner))
-
-    async def restart(self, place, runner):
-        """Refuse connections where an endpoint crashed; start another one."""
-        await place.link.set_mode(LinkMode.CUT)
-        await asyncio.sleep(LAPSE_S)
+            for replica in self.replicas.values():
+                if replica.runner.crashed_by and not replica.restarting:
+                    replica.restarting = True
+                    self.crash_times_ms.append(replica.runner.ended_ms)
+                    self.spawn(
+                        self.replace_crashed_endpoint(replica, replica.runner)
+                    )
+
+    async def replace_crashed_endpoint(self, replica, runner):
+        """Refuse connections to a crashed endpoint, then replace it."""
+        await replica.link.set_mode(LinkMode.CUT)
+        await asyncio.sleep(ENTRY_EXPIRY_S)
         self.store.put('servers', runner.id, None)
-        if place.runner is runner:
-            await self.fill(place)
-        place.restarting = False
-
-    def spoil(self, place, fault, on):
-        """Switch a fault of a place's present endpoint."""
-        faults = self.make_faults()
-        if on:
+        if replica.runner is runner:
+            await self.start_endpoint(replica)
+        replica.restarting = False
+
+    def set_endpoint_fault(self, replica, fault, enabled):
+        """Enable or disable a fault of a replica's current endpoint."""
+        faults = self.make_base_faults()
+        if enabled:
             setattr(faults, fault.value, True)
-        place.runner.faults = faults
+        replica.runner.faults = faults
 
     # configuration
 
     def change_routes(self):
-        """Publish a version whose route ``/vN/`` replaces the one before."""
+        """Publish a version whose route ``/vN/`` replaces the previous one."""
         self.version += 1
         config = make_config(self.version)
         prefix = f'/v{self.version}/'
         config['routes'].append(make_route(prefix, prefix, 'plain'))
         self.configure(config)
 
-    # the end
+    # end of a run
 
-    async def heal(self):
-        """End every fault that lasts."""
+    async def clear_faults(self):
+        """End all faults of links, of the store and of endpoints."""
         for link in self.links.values():
             await link.set_mode(LinkMode.OPEN)
         self.store.faults.status = 0
         self.store.faults.silent = False
         self.store.faults.lose_answers = 0
-        for place in self.places.values():
-            place.runner.faults = self.make_faults()
+        for replica in self.replicas.values():
+            replica.runner.faults = self.make_base_faults()
 
     async def stop(self):
-        """End everything this site started."""
+        """Stop everything that this site started."""
         for host in self.hosts.values():
             await host.close()
         for task in list(self.tasks):
--- a/tests/soak/traffic.py
+++ b/tests/soak/traffic.py
@@ -1,4 +1,4 @@
-"""Callers of a soak: what each call asked and what came back."""
+"""Callers of a soak, and the record of each call."""
 
 import asyncio
 import dataclasses
@@ -12,24 +12,28 @@
 from tests.platformsite import make_prompt
 
 DEADLINE_MS = 3000
-# How long after its deadline a call without an answer is given up here.
-PATIENCE_MS = 1500
+# The caller gives up on a call that has not ended this long after its
+# deadline.  Also the TCP user timeout of the callers' connections.
+TIMEOUT_MARGIN_MS = 1500
+# Mean pause between two calls of a caller.
 THINK_MS = 60
-# Calls on one connection before the caller takes another host's.
-CALLS_EACH = 12
-CONNECT_MS = 1000
+# Calls that a caller makes on one connection before it connects to a host
+# again.
+CALLS_PER_CONNECTION = 12
+CONNECT_TIMEOUT_MS = 1000
 
 
 @dataclasses.dataclass(frozen=True)
 class CallKind:
-    """A kind of call that callers make.
+    """A kind of call.
 
-    :param once: whether it may run once at the most.
+    :param stream: whether the response is a stream of events.
+    :param at_most_once: whether it must not run more than once.
     """
 
-    prefix: str
+    path_prefix: str
     stream: bool
-    once: bool
+    at_most_once: bool
 
 
 KINDS = (
@@ -38,38 +42,43 @@
     CallKind('/long/', True, False),
     CallKind('/short/', True, True),
 )
-# A request that crashes the endpoints which run it, and the mean pause after
-# which it comes again.
+# A request that crashes the endpoints that run it, and the mean interval
+# between its repetitions.
 CRASHING_BODY = b'crash'
 CRASHING_KIND = CallKind('/short/', True, True)
-CRASHING_PAUSE_MS = 500
+CRASHING_INTERVAL_MS = 500
 
 
 @dataclasses.dataclass
 class CallRecord:
-    """One call; ``status`` is 0 where no answer came.
-
-    :param sent: whether it was written to a standing connection.
-    :param hung: whether neither an answer nor an end came in time.
+    """One call and its response.
+
+    :param attempt: the call's attempt id.
+    :param sent: whether it was written to an open connection.
+    :param status: 0 if no response head came.
+    :param seal: the endpoint's signature, from the response headers.
+    :param complete: whether the response ended as it should.
+    :param timed_out: whether the call had not ended
+        ``TIMEOUT_MARGIN_MS`` after its deadline.
     """
 
     attempt: str
     kind: CallKind
     host: str
     target: str
-    began_ms: int
+    started_ms: int
     ended_ms: int = 0
     sent: bool = False
     status: int = 0
     seal: str | None = None
     body: bytes = b''
     complete: bool = False
-    hung: bool = False
-    body_sent: bytes = b''
+    timed_out: bool = False
+    request_body: bytes = b''
 
 
 class Traffic:
-    """Callers that go on until told to stop.
+    """Concurrent callers that make calls until told to stop.
 
     :param site: the :class:`SoakSite`.
     """
@@ -79,58 +88,63 @@
         self.clock = Clock()
         self.rng = random.Random(seed)
         self.records = []
-        self.number = 0
+        self.call_count = 0
         self.stopped = False
 
     async def run(self, callers):
-        """Send calls from several callers at once."""
-        await asyncio.gather(*(self._call_often() for _ in range(callers)))
+        """Run several callers concurrently until ``stopped`` is set."""
+        await asyncio.gather(*(self._run_caller() for _ in range(callers)))
 
-    async def _call_often(self):
+    async def _run_caller(self):
         while not self.stopped:
-            host = self.rng.choice(list(self.site.fronts))
-            await self._use_connection(host)
+            host = self.rng.choice(list(self.site.front_addresses))
+            await self._call_on_connection(host)
 
-    async def crash_often(self):
-        """Send a request that crashes endpoints again and again.
+    async def repeat_crashing_request(self):
+        """Send a request that crashes endpoints, until ``stopped`` is set.
 
-        :returns: its :class:`CallRecord` objects, which are kept apart.
+        :returns: its :class:`CallRecord` objects, which are not added to
+            ``records``.
         """
         rng = random.Random(self.site.version)
         records = []
         while not self.stopped:
-            pause_ms = rng.expovariate(1 / CRASHING_PAUSE_MS)
+            pause_ms = rng.expovariate(1 / CRASHING_INTERVAL_MS)
             await asyncio.sleep(to_seconds(pause_ms))
-            host = rng.choice(list(self.site.fronts))
+            host = rng.choice(list(self.site.front_addresses))
             record = CallRecord(
                 f'crash-{len(records)}',
                 CRASHING_KIND,
                 host,
-                f'{CRASHING_KIND.prefix}crash',
+                f'{CRASHING_KIND.path_prefix}crash',
                 self.clock.now(),
-                body_sent=CRASHING_BODY,
+                request_body=CRASHING_BODY,
             )
             records.append(record)
             try:
                 connection = await client.connect(
-                    self.site.fronts[host], CONNECT_MS, PATIENCE_MS
+                    self.site.front_addresses[host],
+                    CONNECT_TIMEOUT_MS,
+                    TIMEOUT_MARGIN_MS,
                 )
             except exceptions.EndpointUnreachableError:
                 continue
-            await self._finish(connection, record)
+            await self._execute(connection, record)
             connection.abort()
         return records
 
-    async def _use_connection(self, host):
-        """Make calls on one connection while it stands."""
+    async def _call_on_connection(self, host):
+        """Make calls on one connection until it is closed or used up."""
         try:
             connection = await client.connect(
-                self.site.fronts[host], CONNECT_MS, PATIENCE_MS
+                self.site.front_addresses[host],
+                CONNECT_TIMEOUT_MS,
+                TIMEOUT_MARGIN_MS,
             )
         except exceptions.EndpointUnreachableError:
             await asyncio.sleep(to_seconds(THINK_MS))
             return
-        for _ in range(CALLS_EACH):
+        for _ in range(CALLS_PER_CONNECTION):
             if self.stopped or connection.closed:
                 break
             kind = self.rng.choice(KINDS)
@@ -142,34 +156,41 @@
         connection.abort()
 
     async def call(self, connection, host, kind):
-        """Make one call; keep and return its :class:`CallRecord`."""
-        self.number += 1
-        attempt = f'call-{self.number}'
-        target = f'{kind.prefix}{self.number}'
+        """Make one call.
+
+        :returns: its :class:`CallRecord`, which is added to ``records``.
+        """
+        self.call_count += 1
+        attempt = f'call-{self.call_count}'
+        target = f'{kind.path_prefix}{self.call_count}'
         record = CallRecord(attempt, kind, host, target, self.clock.now())
         self.records.append(record)
-        await self._finish(connection, record)
+        await self._execute(connection, record)
         return record
 
-    async def _finish(self, connection, record):
-        """Send a call and note what became of it."""
+    async def _execute(self, connection, record):
+        """Send a call and record its outcome."""
         try:
-            async with asyncio.timeout(to_seconds(DEADLINE_MS + PATIENCE_MS)):
+            async with asyncio.timeout(
+                to_seconds(DEADLINE_MS + TIMEOUT_MARGIN_MS)
+            ):
                 await self._exchange(connection, record)
         except TimeoutError:
-            record.hung = True
+            record.timed_out = True
         except exceptions.BackendError:
             record.complete = False
         record.ended_ms = self.clock.now()
 
     async def _exchange(self, connection, record):
-        more = make_prompt() if record.kind.stream else {}
-        fields = make_headers(record.attempt, deadline_ms=DEADLINE_MS, **more)
+        prompt = make_prompt() if record.kind.stream else {}
+        fields = make_headers(
+            record.attempt, deadline_ms=DEADLINE_MS, **prompt
+        )
         method = 'GET'
-        if record.body_sent:
+        if record.request_body:
             method = 'POST'
-            fields.append(('Content-Length', str(len(record.body_sent))))
-        connection.send(method, record.target, fields, record.body_sent)
+            fields.append(('Content-Length', str(len(record.request_body))))
+        connection.send(method, record.target, fields, record.request_body)
         record.sent = True
         head = await connection.read_head()
         record.status = head.status
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,4 +1,4 @@
-"""A short soak of real processes, and the seeds that once failed.
+"""Short soak runs, also of seeds that are known to have failed.
 
 Longer runs: ``python -m tests.soak --seeds=50``.
 """
@@ -10,7 +10,7 @@
 
 from tests.soak import checks
 from tests.soak import faults
-from tests.soak.play import play_seed
+from tests.soak.play import run_seed
 from tests.soak.process import Exit
 from tests.soak.process import HostProcess
 
@@ -20,63 +20,65 @@
 @pytest.mark.parametrize(
     'seed',
     [
-        # SIGHUP while a host was starting ended it, both.
+        # Both seeds: SIGHUP ended a host during its startup.
         1,
         20261203,
-        # The lease's log was deleted: a second holder, two usage reports.
+        # The history of the lease's log was deleted while a host held the
+        # lease: a second host became holder, and a usage window was reported
+        # twice.
         31203403,
     ],
 )
-def test_a_seed_breaks_no_promise(seed, tmp_path):
-    findings, evidence = asyncio.run(play_seed(seed, LENGTH_MS, tmp_path))
+def test_seed_has_no_findings(seed, tmp_path):
+    findings, evidence = asyncio.run(run_seed(seed, LENGTH_MS, tmp_path))
     assert not findings
-    assert len(evidence.played) > 3
+    assert len(evidence.injected) > 3
     assert sum(record.status == 200 for record in evidence.records) > 100
 
 
-def test_a_request_that_crashes_endpoints_breaks_no_promise(tmp_path):
+def test_crashing_request_has_no_findings(tmp_path):
     findings, evidence = asyncio.run(
-        play_seed(11, LENGTH_MS, tmp_path, crashing=True)
+        run_seed(11, LENGTH_MS, tmp_path, crashing=True)
     )
     assert not findings
     assert len(evidence.crash_calls) > 5
     crashes = [
         timed
-        for timed in evidence.played
+        for timed in evidence.injected
         if isinstance(timed.fault, faults.CrashEndpoint)
     ]
-    assert len(crashes) >= checks.CRASHES_KNOWN
+    assert len(crashes) >= checks.QUARANTINE_CRASHES
 
 
-def test_a_fleet_with_hubs_breaks_no_promise(tmp_path):
-    findings, _ = asyncio.run(play_seed(7, LENGTH_MS, tmp_path, hosts=18))
+def test_hosts_with_hubs_have_no_findings(tmp_path):
+    findings, _ = asyncio.run(run_seed(7, LENGTH_MS, tmp_path, hosts=18))
     assert not findings
 
 
 @pytest.mark.parametrize(
-    ('ended', 'found'),
+    ('host_exit', 'count'),
     [
-        (Exit(0, asked=True), 0),
-        (Exit(0, asked=False), 1),
-        (Exit(1, asked=True), 1),
-        (Exit(-signal.SIGHUP, asked=False), 1),
-        (Exit(-signal.SIGHUP, asked=False, too_early=True), 0),
-        (Exit(-signal.SIGSEGV, asked=False, too_early=True), 1),
+        (Exit(0, requested=True), 0),
+        (Exit(0, requested=False), 1),
+        (Exit(1, requested=True), 1),
+        (Exit(-signal.SIGHUP, requested=False), 1),
+        (Exit(-signal.SIGHUP, requested=False, sighup_at_startup=True), 0),
+        (Exit(-signal.SIGSEGV, requested=False, sighup_at_startup=True), 1),
     ],
 )
-def test_only_an_unavoidable_end_is_no_finding(ended, found):
-    exits = {'host-1': [ended]}
+def test_exit_is_a_finding_unless_requested_or_unavoidable(host_exit, count):
+    exits = {'host-1': [host_exit]}
     evidence = checks.Evidence([], [], {}, [], exits, [], [], True)
-    assert len(list(checks.check_exits(evidence))) == found
+    assert len(list(checks.check_exits(evidence))) == count
 
 
 @pytest.mark.parametrize('renewed', [True, False])
-def test_a_lease_that_nobody_renews_is_a_finding(renewed):
+def test_unrenewed_lease_is_a_finding(renewed):
     evidence = checks.Evidence([], [], {}, [], {}, [], [], renewed)
     assert len(list(checks.check_lease(evidence))) == (not renewed)
 
 
-def test_an_early_signal_is_told_from_one_that_the_program_ignores(tmp_path):
+def test_sighup_at_startup_is_told_from_handled_sighup(tmp_path):
     settings = tmp_path / 'boot.toml'
     settings.write_text('node = 1')
 
@@ -85,14 +87,14 @@
         running = asyncio.create_task(host.run())
         while host.process is None:
             await asyncio.sleep(0)
-        host.send(signal.SIGHUP)
-        assert host.too_early
+        host.send_signal(signal.SIGHUP)
+        assert host.sighup_at_startup
         while not host.exits or host.process.returncode is not None:
             await asyncio.sleep(0.01)
         while host.is_starting():
             await asyncio.sleep(0.001)
-        host.send(signal.SIGHUP)
-        assert not host.too_early
+        host.send_signal(signal.SIGHUP)
+        assert not host.sighup_at_startup
         await host.close()
         await running
 
