--- a/tests/scenarios.py
+++ b/tests/scenarios.py
@@ -1,8 +1,8 @@
-"""Playing scripted scenarios against real processes.
+"""Runs scenarios written in YAML against real processes.
 
-A scenario is a few lines of YAML: its zones, and steps of which each
-is one key of :class:`steps.Step`.  Answers are compared whole with
-what the engine stand-in must produce.
+A scenario file gives the zones and a list of steps; each step is one field
+of :class:`steps.Step`.  Answers must be exactly those that the stand-ins
+produce.
 """
 
 import json
@@ -13,8 +13,12 @@
 from tests import steps
 
 
-class Player:
-    """Plays one scenario."""
+class ScenarioRunner:
+    """Runs one scenario on a cluster of its own.
+
+    :param scenario: the :class:`steps.Scenario`.
+    :param workdir: directory for settings files and logs.
+    """
 
     def __init__(self, scenario, workdir):
         self.scenario = scenario
@@ -33,8 +37,11 @@
         )
         self.calls = []
 
-    def play(self):
-        """Play every step; an assertion fails the scenario."""
+    def run(self):
+        """Start the cluster and run every step.
+
+        :raises AssertionError: a step's check failed.
+        """
         try:
             self.cluster.begin()
             for step in self.scenario.steps:
@@ -43,12 +50,14 @@
         finally:
             self.cluster.stop()
 
-    def calls_of(self, name):
+    def find_calls(self, name):
+        """Return the calls that the steps ``send`` of this name made."""
         found = [c for c in self.calls if c.send.name == name]
         assert found, f'no calls named {name}'
         return found
 
     def do_send(self, send):
+        """Send requests and check that they are accepted or refused."""
         for number in range(send.count):
             call = callers.Call(send, number, self.cluster.url(send.to))
             self.calls.append(call)
@@ -71,6 +80,7 @@
         self.cluster.restart(process)
 
     def do_reclaim(self, reclaim):
+        """Announce a reclaim, then kill the zone's processes if asked to."""
         url = self.cluster.url('cloud')
         body = {'zone': reclaim.zone, 'notice_ms': reclaim.notice_ms}
         cluster_module.call_json(f'{url}/admin/reclaim', body)
@@ -85,16 +95,17 @@
         cluster_module.call_json(f'{url}/admin/faults', fault)
 
     def do_answer(self, answer):
-        for call in self.calls_of(answer.of):
+        """Check the answers, as received or as fetched at another host."""
+        for call in self.find_calls(answer.of):
             if answer.at is None:
                 call.thread.join(answer.timeout_s)
                 assert ''.join(call.pieces) == call.expected
                 continue
             assert call.accepted, (call.status, call.error)
-            self.check_at(call, answer)
+            self.check_answer_at(call, answer)
 
-    def check_at(self, call, answer):
-        """The answer fetched by id at another host is whole."""
+    def check_answer_at(self, call, answer):
+        """Check the answer that a host returns for the request's id."""
         url = f'{self.cluster.url(answer.at)}/v1/requests/{call.id}'
         deadline = time.monotonic() + answer.timeout_s
         while True:
@@ -107,10 +118,14 @@
             time.sleep(0.05)
         assert body['state'] == 'done', body
         assert body['text'] == call.expected
-        self.resume_at(call, url)
+        self.check_resumed_stream(call, url)
 
-    def resume_at(self, call, url):
-        """The stream resumed by id ends the caller's own beginning."""
+    def check_resumed_stream(self, call, url):
+        """Check that a stream can be resumed by id where its caller is.
+
+        What the caller has received and the resumed rest must add up to the
+        expected answer.
+        """
         start = len(call.pieces) if call.send.how == 'stream' else 0
         _, _, raw = cluster_module.call(f'{url}?stream=true&from={start}')
         events = [
@@ -122,11 +137,11 @@
         assert ''.join(call.pieces[:start] + rest) == call.expected
 
     def do_follow(self, follow):
-        for call in self.calls_of(follow.of):
+        for call in self.find_calls(follow.of):
             call.follow(self.cluster.url(follow.at))
 
     def do_cancel(self, cancel):
-        call = self.calls_of(cancel.of)[0]
+        call = self.find_calls(cancel.of)[0]
         url = f'{self.cluster.url(cancel.at)}/v1/requests/{call.id}/cancel'
         status, _, body = cluster_module.call_json(url, {})
         assert status == 200, body
@@ -134,6 +149,7 @@
         assert body['error']['error']['not_run'] == cancel.not_run
 
     def do_executions(self, executions):
+        """Check how often the plain services ran a key's requests."""
         total = 0
         for name in self.cluster.names('service'):
             url = f'{self.cluster.url(name)}/v1/executions'
@@ -146,7 +162,11 @@
         if executions.at_most is not None:
             assert total <= executions.at_most
 
-    def engine_counts(self):
+    def fetch_started(self):
+        """Return the requests that each running engine has started.
+
+        :returns: a map of engine name to a map of request id to count.
+        """
         started = {}
         for name in self.cluster.names('engine'):
             if self.cluster.procs[name].poll() is None:
@@ -155,10 +175,11 @@
         return started
 
     def do_never_started(self, never):
+        """Check that engines started accepted requests only, none of these."""
         accepted = {c.id for c in self.calls if c.accepted}
-        cancelled = {c.id for c in self.calls_of(never.of)}
-        for counts in self.engine_counts().values():
-            assert set(counts) <= accepted - cancelled
+        excluded = {c.id for c in self.find_calls(never.of)}
+        for counts in self.fetch_started().values():
+            assert set(counts) <= accepted - excluded
 
     def do_links(self, links):
         self.cluster.set_links(links.daemon, links.mode)
@@ -183,7 +204,8 @@
         assert done.returncode == 0, done.stderr
 
     def do_no_new_work(self, rule):
-        before = self.engine_counts()[rule.endpoint]
+        """Send requests to all daemons; none may reach the endpoint."""
+        before = self.fetch_started()[rule.endpoint]
         deadline = time.monotonic() + rule.for_ms / 1000
         while time.monotonic() < deadline:
             for name in self.cluster.names('daemon'):
@@ -191,4 +213,4 @@
                 callers.Call(
                     send, time.monotonic_ns(), self.cluster.url(name)
                 ).start()
-        assert self.engine_counts()[rule.endpoint] == before
+        assert self.fetch_started()[rule.endpoint] == before
--- a/tests/steps.py
+++ b/tests/steps.py
@@ -1,4 +1,7 @@
-"""The steps of scripted scenarios, as their YAML files give them."""
+"""Schema of the scenario files in ``tests/scenarios/``.
+
+The names of the fields are the keys of the YAML files.
+"""
 
 import pydantic
 import yaml
@@ -9,7 +12,17 @@
 
 
 class Send(_Model):
-    """Send requests ``<name>-<n>``; ``stream`` and ``whole`` stay open."""
+    """Send ``count`` requests to a daemon.
+
+    :param name: the name by which later steps refer to these requests.
+    :param to: the daemon's name.
+    :param words: words of the prompt.
+    :param tokens: largest number of tokens of the answer.
+    :param key: the idempotency key.
+    :param how: ``async`` waits until the request is accepted; ``stream`` and
+        ``whole`` read the response in the background, as a stream or at once.
+    :param refused: error code that must refuse each request.
+    """
 
     name: str
     to: str
@@ -30,7 +43,12 @@
 
 
 class Reclaim(_Model):
-    """Announce a zone's reclaim; ``kill_after_ms`` kills its hosts."""
+    """Announce that a zone is reclaimed.
+
+    :param notice_ms: time from the notice to the announced end.
+    :param kill_after_ms: time until all processes of the zone are killed;
+        ``None`` to let them run.
+    """
 
     zone: str
     notice_ms: int = 3000
@@ -38,7 +56,12 @@
 
 
 class Answer(_Model):
-    """Fetch the answers of ``<of>-*`` at a host; they must be whole."""
+    """Check that requests have the complete, correct answer.
+
+    :param of: the name of the requests, as in :class:`Send`.
+    :param at: the daemon that the answer is fetched from by request id; by
+        default the response to the request itself is checked.
+    """
 
     of: str
     at: str | None = None
@@ -46,14 +69,14 @@
 
 
 class Follow(_Model):
-    """Open streams of ``<of>-*`` by id at another host, and read on."""
+    """Read the streams of requests ``of`` by id at another daemon."""
 
     of: str
     at: str
 
 
 class Cancel(_Model):
-    """Cancel ``<of>-0``; it must say ``not_run`` as given."""
+    """Cancel the first request ``of``; the error must have ``not_run``."""
 
     of: str
     at: str
@@ -61,7 +84,7 @@
 
 
 class Executions(_Model):
-    """How often a key's calls ran at all plain services together."""
+    """Check how often a key's requests ran, over all plain services."""
 
     key: str
     exactly: int | None = None
@@ -69,7 +92,7 @@
 
 
 class NeverStarted(_Model):
-    """No engine ever began any of ``<of>-*`` that was not accepted."""
+    """Check that no engine has started one of the requests ``of``."""
 
     of: str
 
@@ -81,14 +104,17 @@
 
 
 class NoNewWork(_Model):
-    """An endpoint gets no new streams from now on, for a while."""
+    """Check that an endpoint receives no new requests for ``for_ms``."""
 
     endpoint: str
     for_ms: int = 1000
 
 
 class Links(_Model):
-    """Set a daemon's links to the platform and its peers."""
+    """Set the mode of all network links of a daemon.
+
+    :param mode: a value of :class:`pearrun.standins.link.LinkMode`.
+    """
 
     daemon: str
     mode: str
@@ -101,7 +127,7 @@
 
 
 class InForce(_Model):
-    """A daemon has at least this version, within ``timeout_s``."""
+    """Wait until a daemon has a configuration version or a newer one."""
 
     daemon: str
     version: int
@@ -109,7 +135,12 @@
 
 
 class Step(_Model):
-    """One step: exactly one of its fields is given."""
+    """One step; exactly one of its fields must be set.
+
+    :param wait_ms: time to sleep.
+    :param restart: process to restart after it has ended.
+    :param log_fault: body of ``POST /admin/faults`` of the log stand-in.
+    """
 
     send: Send | None = None
     wait_ms: int | None = None
@@ -130,7 +161,15 @@
 
 
 class Scenario(_Model):
-    """A whole scenario file."""
+    """A scenario file.
+
+    :param zones: fields of :class:`tests.cluster.Zone`, by zone.
+    :param engine: extra flags of the engine stand-ins.
+    :param host: ``host`` settings of the daemons.
+    :param log: extra flags of the log service stand-in.
+    :param links: whether the daemons' connections pass through links.
+    :param platform: ``platform`` settings of the daemons.
+    """
 
     title: str
     zones: dict[str, dict]
@@ -142,7 +181,7 @@
     steps: list[Step]
 
 
-def load(path):
-    """Read and check a scenario file."""
+def load_scenario(path):
+    """Read and validate a scenario file."""
     with open(path, encoding='utf-8') as handle:
         return Scenario.model_validate(yaml.safe_load(handle))
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -1,4 +1,4 @@
-"""Every scenario in ``tests/scenarios/`` against real processes."""
+"""Runs every scenario in ``tests/scenarios/`` against real processes."""
 
 import pathlib
 
@@ -12,4 +12,4 @@
 
 @pytest.mark.parametrize('path', FILES, ids=lambda p: p.stem)
 def test_scenario(path, tmp_path):
-    scenarios.Player(steps.load(path), tmp_path).play()
+    scenarios.ScenarioRunner(steps.load_scenario(path), tmp_path).run()
