--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -148,7 +148,7 @@
             return
         except (aiohttp.ClientError, OSError) as exc:
             final = repr(exc)
-        expected = text.answer_text(prompt, 0, self.tokens)
+        expected = text.generate_answer(prompt, 0, self.tokens)
         if ''.join(pieces) == expected and final['state'] == 'done':
             self.whole += 1
         else:
--- a/benchmarks/reclaim.py
+++ b/benchmarks/reclaim.py
@@ -71,7 +71,7 @@
     """Return the whole answer a request must get."""
     if body['model'] == 'licence-records':
         return f'acknowledged {body["prompt"]}'
-    return text.answer_text(body['prompt'], 0, body['max_tokens'])
+    return text.generate_answer(body['prompt'], 0, body['max_tokens'])
 
 
 class Caller:
--- a/pearrun/bench/arrivals.py
+++ b/pearrun/bench/arrivals.py
@@ -27,7 +27,7 @@
         """The whole answer the stand-ins must give."""
         if self.mix.once:
             return f'acknowledged {self.prompt}'
-        return text.answer_text(self.prompt, 0, self.mix.tokens)
+        return text.generate_answer(self.prompt, 0, self.mix.tokens)
 
 
 def draw_time(rng, arrivals):
--- a/pearrun/bench/report.py
+++ b/pearrun/bench/report.py
@@ -48,7 +48,7 @@
     wall_s: float
 
 
-def is_within(outcome, targets):
+def meets_targets(outcome, targets):
     """Say whether an answer met all its service's targets.
 
     The time between tokens is judged by the mean of the answer's gaps.
@@ -69,7 +69,7 @@
     line.counts[outcome.kind.value] += 1
     line.counts['refusals'] += outcome.refusals
     line.counts['resumes'] += outcome.resumes
-    line.within += is_within(outcome, targets)
+    line.within += meets_targets(outcome, targets)
     if outcome.ttft_ms is not None:
         metrics.record(line.ttft, outcome.ttft_ms)
     for gap in outcome.gaps_ms:
--- a/pearrun/bench/workload.py
+++ b/pearrun/bench/workload.py
@@ -58,7 +58,7 @@
     item: WorkloadItem
     status: int
     text: str
-    whole: bool
+    is_correct: bool
     error: dict | None = None
 
 
@@ -74,7 +74,7 @@
     """Return the whole answer a request must get."""
     if item.expect == 'service':
         return f'acknowledged {item.prompt}'
-    return text.answer_text(item.prompt, item.seed, item.max_tokens)
+    return text.generate_answer(item.prompt, item.seed, item.max_tokens)
 
 
 async def read_events(reply):
--- a/pearrun/cli.py
+++ b/pearrun/cli.py
@@ -139,8 +139,8 @@
     outcomes = await workload.run_burst(load, FLAGS.daemons)
     whole = 0
     for number, outcome in enumerate(outcomes, 1):
-        mark = 'whole' if outcome.whole else 'WRONG'
-        whole += outcome.whole
+        mark = 'whole' if outcome.is_correct else 'WRONG'
+        whole += outcome.is_correct
         print(
             f'[{number}/{total}] {outcome.item.service} {mark} '
             f'{outcome.status}: {outcome.text or outcome.error}'
--- a/pearrun/standins/__init__.py
+++ b/pearrun/standins/__init__.py
@@ -1,6 +1,6 @@
-"""Stand-ins for the platform: engines, services, log service, cloud.
+"""Stand-ins for external systems: engines, services, log service, cloud.
 
-Each runs as its own process and speaks plain HTTP with JSON bodies.
-They exist for tests and for ``scripts/up``; pearrun meets the real
-platform through the same protocols.
+They serve tests and local demonstrations.  Those that ``scripts/up``
+starts run as separate processes and use HTTP with JSON bodies; pearrun
+talks to the real platform through the same protocols.
 """
--- a/pearrun/standins/cloud.py
+++ b/pearrun/standins/cloud.py
@@ -1,13 +1,15 @@
-"""Cloud API stand-in: hosts, a lagging host list and reclaim notices.
+"""Cloud API stand-in: hosts, a delayed host list and reclaim notices.
 
 Protocol (JSON over HTTP):
 
-- ``GET /v1/hosts``: the host list as it stood ``list_lag_ms`` ago.
-- ``GET /v1/notices?since=N``: reclaim notices, at once.
-- ``POST /v1/hosts`` ``{zone}``: ask for a replacement host; refused
-  with ``503`` when the stand-in is set to refuse.
-- ``POST /admin/refuse`` ``{refuse}``: refuse replacements or not.
-- ``POST /admin/reclaim`` ``{zone, notice_ms}``: reclaim a whole zone.
+- ``GET /v1/hosts``: the host list, with states ``list_lag_ms`` old.
+- ``GET /v1/notices?since=N``: reclaim notices, without delay.
+- ``POST /v1/hosts`` ``{zone}``: request a replacement host; answered
+  with ``503`` while replacements are refused.
+- ``POST /admin/refuse`` ``{refuse}``: start or stop refusing
+  replacements.
+- ``POST /admin/reclaim`` ``{zone, notice_ms}``: reclaim all hosts of a
+  zone.
 """
 
 import dataclasses
@@ -21,7 +23,11 @@
 
 @dataclasses.dataclass(frozen=True)
 class CloudConfig:
-    """How the cloud stand-in behaves."""
+    """Configuration of the cloud stand-in.
+
+    :param hosts: pairs of a host's id and zone.
+    :param list_lag_ms: age of the states in the host list.
+    """
 
     hosts: tuple = ()
     list_lag_ms: int = 1500
@@ -37,12 +43,12 @@
         self.zones = dict(config.hosts)
         self.changes = []
         self.notices = []
-        self.notice_seq = itertools.count(1)
+        self.notice_numbers = itertools.count(1)
         self.refusing = config.refuse_replacements
-        self.new_hosts = itertools.count(1)
+        self.replacement_numbers = itertools.count(1)
 
-    def host_list(self):
-        """Return hosts with states as of ``list_lag_ms`` ago."""
+    def list_hosts(self):
+        """Return all hosts with their states of ``list_lag_ms`` ago."""
         cutoff = self.clock.now() - self.config.list_lag_ms
         states = {host: 'live' for host in self.zones}
         for at, host, state in self.changes:
@@ -54,20 +60,26 @@
         ]
 
     def add_host(self, zone):
-        """Grant a replacement host; return its id."""
-        host = f'replacement-{zone}-{next(self.new_hosts)}'
+        """Add a replacement host.
+
+        :returns: its id.
+        """
+        host = f'replacement-{zone}-{next(self.replacement_numbers)}'
         self.zones[host] = zone
         return host
 
     def reclaim(self, zone, notice_ms):
-        """Announce the reclaim of every host in a zone."""
+        """Issue reclaim notices for all hosts of a zone.
+
+        :returns: their ids, sorted.
+        """
         now = self.clock.now()
         hosts = sorted(h for h, z in self.zones.items() if z == zone)
         for host in hosts:
             self.changes.append((now, host, 'leaving'))
             self.notices.append(
                 {
-                    'seq': next(self.notice_seq),
+                    'seq': next(self.notice_numbers),
                     'id': host,
                     'zone': zone,
                     'notice_ms': notice_ms,
@@ -84,13 +96,13 @@
 
     @app.get('/v1/hosts')
     async def hosts(request):
-        return response.json({'hosts': cloud.host_list()})
+        return response.json({'hosts': cloud.list_hosts()})
 
     @app.get('/v1/notices')
     async def notices(request):
         since = int(request.args.get('since', 0))
-        chosen = [n for n in cloud.notices if n['seq'] > since]
-        return response.json({'notices': chosen})
+        selected = [n for n in cloud.notices if n['seq'] > since]
+        return response.json({'notices': selected})
 
     @app.post('/v1/hosts')
     async def request_host(request):
--- a/pearrun/standins/engine.py
+++ b/pearrun/standins/engine.py
@@ -5,19 +5,21 @@
 - ``POST /v1/generate`` ``{request_id, prompt, max_tokens, seed,
   priority, resume_from, tokens, again}`` streams NDJSON lines
   ``{"index", "token"}`` then ``{"done": true, "finish_reason"}``.
-  ``tokens`` are those already streamed when resuming, and ``again``
-  says that an engine has worked on this request before.
+  When a stream is resumed, ``tokens`` holds the tokens already
+  streamed.  ``again`` is true if an engine has already processed the
+  request, fully or in part.
 - ``POST /v1/cancel`` ``{request_id}``.
-- ``GET /v1/load``: a load report refreshed only every ``load_lag_ms``.
-- ``GET /v1/cache/events?since=N``: cache events, late and with gaps.
+- ``GET /v1/load``: a load report that is up to ``load_lag_ms`` old.
+- ``GET /v1/cache/events?since=N``: cache events, delayed and with gaps.
 - ``POST /v1/kv/export`` ``{prompt, tokens}`` and ``POST /v1/kv/import``
-  ``{blocks}``: move prefix-cache blocks between engines.
+  ``{blocks}``: copy prefix-cache blocks between engines.
 - ``POST /v1/orders`` ``{kind, value, fencing}``: load a model or
-  adapter, or change role; refused when ``fencing`` is older than one
-  already seen, if this engine enforces fencing.
-- ``POST /admin/forget`` empties the prefix cache, between rounds.
+  adapter, or change role.  If the engine enforces fencing, an order
+  with a lower fencing token than an earlier one is refused.
+- ``POST /admin/forget`` clears the prefix cache, so that the rounds of
+  an experiment start alike.
 - ``GET /v1/stats`` and ``GET /v1/started``: counters for tests, and
-  how often each request was begun.
+  the number of times each request was started.
 """
 
 import asyncio
@@ -36,7 +38,16 @@
 
 @dataclasses.dataclass(frozen=True)
 class EngineConfig:
-    """How an engine stand-in behaves."""
+    """Configuration of an engine stand-in.
+
+    :param slots: requests that are decoded at once, as one batch.
+    :param batch_slowdown: fraction of the decode time that each active
+        request adds to a step.
+    :param load_lag_ms: how old a load report may be.
+    :param event_lag_ms: delay before a cache event is published.
+    :param event_gap_every: every so many cache events, one is never
+        published; 0 for none.
+    """
 
     endpoint_id: str
     slots: int = 8
@@ -52,7 +63,7 @@
 
 @dataclasses.dataclass
 class EngineStats:
-    """Counters a test can read."""
+    """Counters for tests and load measurements."""
 
     prefill_tokens: int = 0
     recomputed_tokens: int = 0
@@ -71,29 +82,29 @@
         self.stats = EngineStats()
         self.cache = collections.OrderedDict()
         self.events = []
-        self.event_seq = itertools.count(1)
+        self.event_numbers = itertools.count(1)
         self.cancelled = set()
         self.active = 0
         self.waiting = []
-        self.waiting_seq = itertools.count()
+        self.waiting_numbers = itertools.count()
         self.load_report = None
         self.orders = []
         self.fencing = -1
         self.started = collections.Counter()
 
     async def admit(self, priority):
-        """Wait for a batch slot, lower priority values first."""
+        """Wait for a batch slot; the lowest priority value is served first."""
         if self.active < self.config.slots and not self.waiting:
             self.active += 1
             return
         waiter = asyncio.get_running_loop().create_future()
         heapq.heappush(
-            self.waiting, (priority, next(self.waiting_seq), waiter)
+            self.waiting, (priority, next(self.waiting_numbers), waiter)
         )
         await waiter
 
     def release(self):
-        """Free a slot, handing it to the most urgent waiter."""
+        """Free a slot, or pass it to the first waiter by priority value."""
         while self.waiting:
             _, _, waiter = heapq.heappop(self.waiting)
             if not waiter.done():
@@ -101,8 +112,8 @@
                 return
         self.active -= 1
 
-    def cached_prefix_blocks(self, hashes):
-        """Count leading blocks already in the cache, touching them."""
+    def match_prefix(self, hashes):
+        """Return how many leading blocks are cached; mark them as used."""
         count = 0
         for block in hashes:
             if block not in self.cache:
@@ -112,7 +123,7 @@
         return count
 
     def store_blocks(self, hashes):
-        """Put blocks in the cache, evicting the least recently used."""
+        """Add blocks to the cache; evict the least recently used ones."""
         for block in hashes:
             if block in self.cache:
                 self.cache.move_to_end(block)
@@ -120,18 +131,21 @@
             self.cache[block] = True
             self.add_event('stored', block)
             while len(self.cache) > self.config.cache_blocks:
-                old, _ = self.cache.popitem(last=False)
-                self.add_event('evicted', old)
+                evicted, _ = self.cache.popitem(last=False)
+                self.add_event('evicted', evicted)
 
     def add_event(self, kind, block):
         """Record a cache event for ``/v1/cache/events``."""
-        seq = next(self.event_seq)
+        seq = next(self.event_numbers)
         self.events.append((seq, self.clock.now(), kind, block))
         if len(self.events) > 10_000:
             del self.events[:5_000]
 
-    def visible_events(self, since):
-        """Return events old enough to publish, with some left out."""
+    def list_events(self, since):
+        """Return the published cache events after a sequence number.
+
+        Events newer than the lag, and those in a gap, are left out.
+        """
         cutoff = self.clock.now() - self.config.event_lag_ms
         gap = self.config.event_gap_every
         return [
@@ -140,8 +154,8 @@
             if seq > since and at <= cutoff and (gap <= 0 or seq % gap)
         ]
 
-    def current_load(self):
-        """Return the load report, refreshed only after the lag."""
+    def report_load(self):
+        """Return a load report, refreshed once it is older than the lag."""
         now = self.clock.now()
         report = self.load_report
         if report is None or now - report['at_ms'] >= self.config.load_lag_ms:
@@ -155,17 +169,17 @@
             self.load_report = report
         return report
 
-    def step_seconds(self):
-        """Return one decode step's length for the current batch."""
-        slow = 1.0 + self.config.batch_slowdown * self.active
-        return self.config.decode_ms_per_token * slow / 1000.0
+    def compute_step_s(self):
+        """Return the duration of a decode step at the current batch size."""
+        slowdown = 1.0 + self.config.batch_slowdown * self.active
+        return self.config.decode_ms_per_token * slowdown / 1000.0
 
 
 def build_app(config):
     """Build the engine stand-in's sanic app.
 
     :param config: an :class:`EngineConfig`.
-    :returns: a :class:`sanic.Sanic` app.
+    :returns: the :class:`sanic.Sanic` app.
     """
     app = Sanic('pearrun-engine')
     engine = Engine(config)
@@ -179,16 +193,16 @@
         max_tokens = int(body.get('max_tokens', 16))
         seed = int(body.get('seed', 0))
         start = int(body.get('resume_from', 0))
-        seen = [str(t) for t in body.get('tokens', [])]
+        streamed = [str(t) for t in body.get('tokens', [])]
         priority = int(body.get('priority', 1))
         engine.cancelled.discard(request_id)
         await engine.admit(priority)
         try:
             engine.stats.streams_started += 1
             engine.started[request_id] += 1
-            context = text.split_tokens(prompt) + seen
-            hashes = text.block_hashes(context)
-            cached = engine.cached_prefix_blocks(hashes) * text.BLOCK_TOKENS
+            context = text.split_tokens(prompt) + streamed
+            hashes = text.hash_blocks(context)
+            cached = engine.match_prefix(hashes) * text.BLOCK_TOKENS
             uncached = len(context) - cached
             engine.stats.prefill_tokens += uncached
             engine.stats.cached_tokens += cached
@@ -197,21 +211,21 @@
             await asyncio.sleep(uncached * config.prefill_ms_per_token / 1e3)
             engine.store_blocks(hashes)
             stream = await request.respond(content_type='application/x-ndjson')
-            reason = 'length'
+            finish_reason = 'length'
             for index in range(start, max_tokens):
                 if request_id in engine.cancelled:
                     engine.stats.streams_cancelled += 1
-                    reason = 'cancelled'
+                    finish_reason = 'cancelled'
                     break
-                await asyncio.sleep(engine.step_seconds())
-                token = text.answer_token(prompt, seed, index)
+                await asyncio.sleep(engine.compute_step_s())
+                token = text.generate_token(prompt, seed, index)
                 engine.stats.decoded_tokens += 1
                 context.append(token)
                 if len(context) % text.BLOCK_TOKENS == 0:
-                    engine.store_blocks(text.block_hashes(context))
+                    engine.store_blocks(text.hash_blocks(context))
                 line = {'index': index, 'token': token}
                 await stream.send(json.dumps(line) + '\n')
-            done = {'done': True, 'finish_reason': reason}
+            done = {'done': True, 'finish_reason': finish_reason}
             await stream.send(json.dumps(done) + '\n')
             await stream.eof()
         finally:
@@ -224,21 +238,21 @@
 
     @app.get('/v1/load')
     async def load(request):
-        return response.json(engine.current_load())
+        return response.json(engine.report_load())
 
     @app.get('/v1/cache/events')
     async def cache_events(request):
         since = int(request.args.get('since', 0))
-        return response.json({'events': engine.visible_events(since)})
+        return response.json({'events': engine.list_events(since)})
 
     @app.post('/v1/kv/export')
     async def kv_export(request):
         body = request.json or {}
         context = text.split_tokens(str(body.get('prompt', '')))
         context += [str(t) for t in body.get('tokens', [])]
-        hashes = text.block_hashes(context)
-        held = [h for h in hashes if h in engine.cache]
-        return response.json({'blocks': held})
+        hashes = text.hash_blocks(context)
+        cached = [h for h in hashes if h in engine.cache]
+        return response.json({'blocks': cached})
 
     @app.post('/v1/kv/import')
     async def kv_import(request):
--- a/pearrun/standins/link.py
+++ b/pearrun/standins/link.py
@@ -1,14 +1,15 @@
-"""Link stand-in: a TCP connection path that tests can break.
-
-It listens on ``listen_port`` and passes bytes on to ``target``.
-``POST /admin/link`` ``{mode}`` on its own port sets what it does:
-
-- ``open``: bytes pass;
-- ``cut``: new connections are refused and open ones are reset;
-- ``silent``: connections that are open now never pass another byte,
-  as when something in between has forgotten them; new ones work;
-- ``one_way``: bytes reach the target, nothing comes back;
-- ``slow``: bytes pass late.
+"""Network link stand-in: a TCP proxy whose connections can be broken.
+
+It listens on ``listen_port`` and forwards to ``target``.  On another
+port, ``POST /admin/link`` ``{mode}`` sets the mode:
+
+- ``open``: bytes are forwarded;
+- ``cut``: new connections are refused, open ones are reset;
+- ``silent``: open connections drop all further bytes without closing,
+  as when a NAT or firewall has lost their state; new ones work;
+- ``one_way``: bytes to the target are forwarded, those to the client
+  are dropped;
+- ``slow``: bytes are forwarded after a delay.
 """
 
 import asyncio
@@ -18,14 +19,14 @@
 from sanic import response
 from sanic import Sanic
 
-CHUNK = 65_536
-# How late bytes pass on a slow link: several times the few ms that
+CHUNK_BYTES = 65_536
+# Delay of a slow link: several times the few milliseconds that
 # connections within a region take.
-SLOW_S = 0.06
+SLOW_DELAY_S = 0.06
 
 
 class LinkMode(enum.Enum):
-    """What the link does to connections."""
+    """How the link treats connections."""
 
     OPEN = 'open'
     CUT = 'cut'
@@ -36,35 +37,42 @@
 
 @dataclasses.dataclass(frozen=True)
 class LinkConfig:
-    """Where a link listens and leads to."""
+    """Addresses of a link.
+
+    :param target: ``IP:PORT`` that it forwards to.
+    """
 
     listen_port: int
     target: str
 
 
 class Connection:
-    """One connection through the link."""
+    """A connection through the link.
+
+    :param client_writer: the stream writer towards the client.
+    :param target_writer: the stream writer towards the target.
+    """
 
-    def __init__(self, link, near, far):
+    def __init__(self, link, client_writer, target_writer):
         self.link = link
-        self.near = near
-        self.far = far
+        self.client_writer = client_writer
+        self.target_writer = target_writer
         self.silent = False
 
-    def holds_back(self, writer):
-        """Say whether bytes to an end are dropped now."""
+    def drops_bytes(self, writer):
+        """Tell whether bytes to one end are dropped at present."""
         one_way = self.link.mode is LinkMode.ONE_WAY
-        return self.silent or (one_way and writer is self.near)
+        return self.silent or (one_way and writer is self.client_writer)
 
-    async def pump(self, reader, writer):
-        """Pass bytes one way until an end closes."""
+    async def forward(self, reader, writer):
+        """Forward bytes in one direction until either end closes."""
         try:
-            while data := await reader.read(CHUNK):
+            while data := await reader.read(CHUNK_BYTES):
                 if self.link.mode is LinkMode.SLOW:
-                    await asyncio.sleep(SLOW_S)
-                if self.holds_back(writer):
-                    # What is lost once never comes: later bytes would
-                    # not follow on from what arrived.
+                    await asyncio.sleep(SLOW_DELAY_S)
+                if self.drops_bytes(writer):
+                    # TCP delivers no bytes after a gap, so once some
+                    # are dropped, all later ones are dropped too.
                     self.silent = True
                     continue
                 writer.write(data)
@@ -75,9 +83,9 @@
             writer.close()
 
     def reset(self):
-        """Break the connection at once."""
-        self.near.transport.abort()
-        self.far.transport.abort()
+        """Reset the connection at both ends."""
+        self.client_writer.transport.abort()
+        self.target_writer.transport.abort()
 
 
 class Link:
@@ -90,35 +98,37 @@
         self.server = None
 
     async def start(self):
-        """Begin to listen."""
+        """Start listening."""
         self.server = await asyncio.start_server(
             self.accept, '127.0.0.1', self.config.listen_port
         )
 
     async def accept(self, reader, writer):
-        """Carry one connection."""
+        """Forward one connection until it ends."""
         host, port = self.config.target.split(':')
         try:
-            far_reader, far_writer = await asyncio.open_connection(host, port)
+            target_reader, target_writer = await asyncio.open_connection(
+                host, port
+            )
         except OSError:
             writer.transport.abort()
             return
-        connection = Connection(self, writer, far_writer)
+        connection = Connection(self, writer, target_writer)
         self.connections.add(connection)
         await asyncio.gather(
-            connection.pump(reader, far_writer),
-            connection.pump(far_reader, writer),
+            connection.forward(reader, target_writer),
+            connection.forward(target_reader, writer),
         )
         self.connections.discard(connection)
 
     def close(self):
-        """Stop listening and break every connection."""
+        """Stop listening and reset all connections."""
         self.server.close()
         for connection in list(self.connections):
             connection.reset()
 
     async def set_mode(self, mode):
-        """Change what happens to connections."""
+        """Set the mode and apply it to open connections."""
         if mode == LinkMode.CUT and self.mode != LinkMode.CUT:
             self.server.close()
         if mode != LinkMode.CUT and self.mode == LinkMode.CUT:
--- a/pearrun/standins/logstore.py
+++ b/pearrun/standins/logstore.py
@@ -3,13 +3,14 @@
 Protocol (JSON over HTTP):
 
 - ``POST /v1/streams/{name}/records`` ``{value, expected_offset}``
-  appends one record.  ``201 {offset}``; ``409 {next_offset}`` when
-  ``expected_offset`` is given and is not the stream's next offset;
-  ``429`` with ``Retry-After`` above the append rate; ``503`` during an
-  outage; ``504`` when the record was applied but the answer is lost.
+  appends one record and returns ``201 {offset}``.  Errors:
+  ``409 {next_offset}`` if ``expected_offset`` is given and is not the
+  stream's next offset; ``429`` with ``Retry-After`` above the append
+  rate; ``503`` during an outage; ``504`` if the record was appended
+  but its acknowledgement is lost.
 - ``GET /v1/streams/{name}/records?from=N&limit=M`` reads records in
-  offset order.  ``410`` when ``from`` fell out of retention.
-- ``GET /v1/streams/{name}`` answers ``{first_offset, next_offset}``.
+  offset order; ``410`` if the record at ``from`` has expired.
+- ``GET /v1/streams/{name}`` returns ``{first_offset, next_offset}``.
 - ``POST /admin/faults`` ``{outage_ms, lose_answers, slow_ms}`` injects
   faults for tests.
 """
@@ -25,7 +26,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class LogConfig:
-    """How the log service stand-in behaves."""
+    """Configuration of the log service stand-in."""
 
     retention_ms: int = 3_600_000
     appends_per_second: int = 500
@@ -41,13 +42,19 @@
 
     @property
     def next_offset(self):
-        """The offset the next append will get."""
+        """The offset of the next record appended."""
         return self.first_offset + len(self.records)
 
 
 @dataclasses.dataclass
 class Faults:
-    """Faults a test has asked for."""
+    """Faults that are being injected.
+
+    :param outage_until_ms: monotonic time when the outage ends.
+    :param lose_answers: number of appends whose acknowledgement will
+        be lost.
+    :param slow_ms: delay of every response.
+    """
 
     outage_until_ms: int = 0
     lose_answers: int = 0
@@ -65,22 +72,25 @@
         self.window_start = 0
         self.window_count = 0
 
-    def stream(self, name):
-        """Return a stream, creating it empty."""
+    def get_stream(self, name):
+        """Return a stream; create it if it does not exist."""
         return self.streams.setdefault(name, Stream())
 
     def expire(self, stream):
-        """Drop records older than the retention window."""
+        """Delete records older than the retention time."""
         cutoff = self.clock.wall() - self.config.retention_ms
-        drop = 0
-        while drop < len(stream.records) and stream.records[drop][0] < cutoff:
-            drop += 1
-        if drop:
-            del stream.records[:drop]
-            stream.first_offset += drop
-
-    def over_rate(self):
-        """Count an append; say whether it goes over the rate limit."""
+        expired = 0
+        while (
+            expired < len(stream.records)
+            and stream.records[expired][0] < cutoff
+        ):
+            expired += 1
+        if expired:
+            del stream.records[:expired]
+            stream.first_offset += expired
+
+    def exceeds_rate(self):
+        """Count an append and tell whether it exceeds the rate limit."""
         now = self.clock.now()
         if now - self.window_start >= 1000:
             self.window_start = now
@@ -104,17 +114,17 @@
 
     @app.post('/v1/streams/<name>/records')
     async def append(request, name):
-        refused = await check_faults()
-        if refused is not None:
-            return refused
-        if store.over_rate():
+        error_response = await check_faults()
+        if error_response is not None:
+            return error_response
+        if store.exceeds_rate():
             return response.json(
                 {'error': 'rate limited'},
                 status=429,
                 headers={'Retry-After': '1'},
             )
         body = request.json or {}
-        stream = store.stream(name)
+        stream = store.get_stream(name)
         store.expire(stream)
         expected = body.get('expected_offset')
         if expected is not None and int(expected) != stream.next_offset:
@@ -131,10 +141,10 @@
 
     @app.get('/v1/streams/<name>/records')
     async def read(request, name):
-        refused = await check_faults()
-        if refused is not None:
-            return refused
-        stream = store.stream(name)
+        error_response = await check_faults()
+        if error_response is not None:
+            return error_response
+        stream = store.get_stream(name)
         store.expire(stream)
         start = int(request.args.get('from', 0))
         limit = min(int(request.args.get('limit', 100)), config.read_limit)
@@ -144,10 +154,10 @@
                 status=410,
             )
         index = start - stream.first_offset
-        chosen = stream.records[index : index + limit]
+        selected = stream.records[index : index + limit]
         records = [
             {'offset': start + i, 'at_ms': at, 'value': value}
-            for i, (at, value) in enumerate(chosen)
+            for i, (at, value) in enumerate(selected)
         ]
         return response.json(
             {
@@ -159,10 +169,10 @@
 
     @app.get('/v1/streams/<name>')
     async def bounds(request, name):
-        refused = await check_faults()
-        if refused is not None:
-            return refused
-        stream = store.stream(name)
+        error_response = await check_faults()
+        if error_response is not None:
+            return error_response
+        stream = store.get_stream(name)
         store.expire(stream)
         return response.json(
             {
--- a/pearrun/standins/main.py
+++ b/pearrun/standins/main.py
@@ -1,4 +1,4 @@
-"""Command line of the stand-ins: ``pearrun-standin --kind=engine``."""
+"""Command line that runs a stand-in: ``pearrun-standin --kind=engine``."""
 
 from absl import app as absl_app
 from absl import flags
@@ -16,29 +16,31 @@
     'kind',
     None,
     ['engine', 'service', 'log', 'cloud', 'link'],
-    'Which stand-in.',
+    'Kind of stand-in to run.',
 )
 flags.DEFINE_string('host', '127.0.0.1', 'Address to listen on.')
 flags.DEFINE_integer('port', None, 'Port to listen on.')
 flags.DEFINE_string('id', 'standin', 'Endpoint id (engine, service).')
-flags.DEFINE_string('zone', '-', 'Failure domain, for logs.')
+flags.DEFINE_string('zone', '-', 'Failure domain, used in logs.')
 flags.DEFINE_integer('slots', 8, 'Engine: batch slots.')
-flags.DEFINE_float('decode_ms', 8.0, 'Engine: ms per decoded token.')
-flags.DEFINE_float('prefill_ms', 0.2, 'Engine: ms per prefilled token.')
-flags.DEFINE_integer('cache_blocks', 512, 'Engine: prefix cache blocks.')
+flags.DEFINE_float('decode_ms', 8.0, 'Engine: decode time per token, ms.')
+flags.DEFINE_float('prefill_ms', 0.2, 'Engine: prefill time per token, ms.')
+flags.DEFINE_integer('cache_blocks', 512, 'Engine: prefix cache size, blocks.')
 flags.DEFINE_bool('enforce_fencing', True, 'Engine: refuse stale orders.')
-flags.DEFINE_list('hosts', [], 'Cloud: endpoint hosts as id:zone.')
-flags.DEFINE_integer('list_lag_ms', 1500, 'Cloud: host list lag.')
-flags.DEFINE_integer('retention_ms', 3_600_000, 'Log: record retention.')
-flags.DEFINE_integer('appends_per_second', 500, 'Log: append rate.')
-flags.DEFINE_integer('listen_port', None, 'Link: port it carries.')
-flags.DEFINE_string('target', None, 'Link: host:port it leads to.')
+flags.DEFINE_list('hosts', [], 'Cloud: endpoint hosts, as id:zone.')
+flags.DEFINE_integer('list_lag_ms', 1500, 'Cloud: delay of the host list.')
+flags.DEFINE_integer('retention_ms', 3_600_000, 'Log: retention of records.')
+flags.DEFINE_integer(
+    'appends_per_second', 500, 'Log: limit of the append rate.'
+)
+flags.DEFINE_integer('listen_port', None, 'Link: port it forwards from.')
+flags.DEFINE_string('target', None, 'Link: host:port it forwards to.')
 flags.DEFINE_enum('log_format', 'text', ['text', 'json'], 'Log format.')
 flags.mark_flags_as_required(['kind', 'port'])
 
 
-def build(kind):
-    """Build the sanic app of the stand-in named by ``kind``."""
+def build_app(kind):
+    """Build the sanic app of a kind of stand-in."""
     match kind:
         case 'engine':
             return engine.build_app(
@@ -72,14 +74,14 @@
 
 
 def main(argv):
-    """Start one stand-in and serve until stopped."""
+    """Run one stand-in until it is stopped."""
     del argv
     logs.configure(f'standin-{FLAGS.kind}', FLAGS.zone, FLAGS.log_format)
-    app = build(FLAGS.kind)
+    app = build_app(FLAGS.kind)
     web.install_admin(app)
     web.serve(app, FLAGS.host, FLAGS.port)
 
 
 def run():
-    """Entry point of the ``pearrun-standin`` script."""
+    """Run :func:`main`; the ``pearrun-standin`` script calls this."""
     absl_app.run(main)
--- a/pearrun/standins/platformapi.py
+++ b/pearrun/standins/platformapi.py
@@ -1,4 +1,4 @@
-"""Stand-in of the platform's API that the duties call."""
+"""Stand-in for the platform API that receives usage and scaling calls."""
 
 import asyncio
 import dataclasses
@@ -12,9 +12,11 @@
 
 @dataclasses.dataclass(frozen=True)
 class DutyCall:
-    """One call, as it arrived.
+    """A call made in the course of a duty, such as usage reporting.
 
-    :param at_ms: monotonic time.
+    :param at_ms: monotonic time of arrival.
+    :param holder: the host that held the lease on the duties.
+    :param fencing: the lease's fencing token.
     """
 
     at_ms: int
@@ -25,9 +27,10 @@
 
 
 class PlatformApi:
-    """Records the duties' calls; ``status`` is answered to each.
+    """Accepts and records calls.
 
-    ``answer_ms`` is how long an answer takes.
+    ``status`` is the status of all responses; calls are recorded only
+    while it is 200.  ``answer_ms`` is the delay of the responses.
     """
 
     def __init__(self):
@@ -37,19 +40,19 @@
         self.server = Server(self._handle)
 
     async def listen(self, address):
-        """Begin to serve on ``IP:PORT``."""
+        """Start serving on ``IP:PORT``."""
         await self.server.listen(address)
 
-    def usage(self):
-        """Return all accepted usage reports as (window, counts)."""
+    def list_usage_reports(self):
+        """Return the accepted usage reports as ``(window, counts)`` pairs."""
         return [
             (call.body['window_no'], call.body['counts'])
             for call in self.calls
             if call.path == '/usage'
         ]
 
-    def orders(self):
-        """Return the accepted orders' bodies."""
+    def list_orders(self):
+        """Return the bodies of the accepted scaling orders."""
         return [call.body for call in self.calls if call.path == '/scale']
 
     async def _handle(self, request, caller):
--- a/pearrun/standins/platformrunner.py
+++ b/pearrun/standins/platformrunner.py
@@ -1,7 +1,8 @@
-"""Stand-in of an endpoint on the platform: plain answers and streams.
+"""Stand-in for an endpoint of the platform, which calls it a runner.
 
-A request's path says nothing to it; a prompt header makes the answer a
-stream of events.  Faults are switched on in its :class:`RunnerFaults`.
+It answers every path alike: with a stream of events if the request has
+the header ``Pearrun-Token-Count``, else with a plain response.  Tests
+inject faults through its :class:`RunnerFaults`.
 """
 
 import asyncio
@@ -17,26 +18,31 @@
 
 @dataclasses.dataclass
 class RunnerFaults:
-    """What goes wrong with the next requests.
-
-    :param full: refuse as a full endpoint does.
-    :param status: answer with this status; a failure of the run.
-    :param reset_before: break the connection before any answer.
-    :param cut_after: break a stream after so many events.
-    :param torn: also send half of the next event before the cut.
-    :param truncate: break a plain answer in the middle.
-    :param unframed: send no length; the connection's end is the end.
-    :param unsealed: leave the signature out.
-    :param extra: send a second answer after a complete one.
-    :param stray_first: send an answer to another request first.
-    :param crash_on: crash when a request with this body begins to run.
-    :param crash_after: events that such a stream sends before.
+    """Faults injected into subsequent requests.
+
+    :param full: refuse requests as an endpoint without free slots does.
+    :param status: status of plain responses; an error status stands
+        for a failed run.
+    :param reset_before: reset the connection before any response.
+    :param break_after_events: reset the connection of a stream after
+        this many events.
+    :param torn: also send the first bytes of the next event before
+        that reset.
+    :param truncate: reset the connection within a plain response.
+    :param unframed: omit the content length; closing the connection
+        ends the response.
+    :param unsealed: omit the signature (``Pearrun-Runner-Seal``).
+    :param extra: send a second response after a complete one.
+    :param stray_first: first send the response to another request.
+    :param crash_on: crash when a request with this body starts to run.
+    :param crash_after_events: number of events that a stream of such a
+        request sends before the crash.
     """
 
     full: bool = False
     status: int = 200
     reset_before: bool = False
-    cut_after: int | None = None
+    break_after_events: int | None = None
     torn: bool = False
     truncate: bool = False
     unframed: bool = False
@@ -44,12 +50,16 @@
     extra: bool = False
     stray_first: bool = False
     crash_on: bytes | None = None
-    crash_after: int = 0
+    crash_after_events: int = 0
 
 
 @dataclasses.dataclass
 class Run:
-    """One request as the endpoint saw it."""
+    """A request that the endpoint accepted.
+
+    :param last_event_id: the event after which the stream resumes.
+    :param events: number of events sent.
+    """
 
     request: object
     last_event_id: int = 0
@@ -59,9 +69,10 @@
 
 
 class PlatformRunner:
-    """One endpoint.
+    """An endpoint.
 
-    :param runner_id: its id, new at every start.
+    :param runner_id: its id, which differs at every start.
+    :param slots: the number of slots that its entry gives.
     """
 
     def __init__(self, runner_id, service, zone, slots=8):
@@ -82,26 +93,26 @@
         self.server = Server(self._handle)
 
     async def listen(self, address):
-        """Begin to serve on ``IP:PORT``."""
+        """Start serving on ``IP:PORT``."""
         self.address = address
         await self.server.listen(address)
 
     def crash(self, target):
-        """End at once, as a killed process does.
+        """Stop abruptly, as a killed process does.
 
-        :param target: that of the request which brought it about.
+        :param target: target of the request that caused the crash.
         """
         self.crashed_by = target.decode()
         self.end()
 
     def end(self):
-        """Stop serving; what still runs breaks off."""
+        """Stop serving and reset all connections."""
         self.ended_ms = CLOCK.now()
         self.server.close()
         self.server.abort()
 
-    def entry(self):
-        """Return the entry that the endpoint writes to the store."""
+    def make_entry(self):
+        """Return the entry that describes the endpoint in the store."""
         return {
             'service': self.service,
             'addr': self.address,
@@ -143,24 +154,24 @@
     async def _run(self, request, caller, run, attempt):
         headers = [(b'Pearrun-Attempt-Id', attempt.encode())]
         if not self.faults.unsealed:
-            seal = f'seal.{self.id}.{attempt}'.encode()
-            headers.append((b'Pearrun-Runner-Seal', seal))
-        if self._is_crashed_by(request) and not self.faults.crash_after:
+            signature = f'seal.{self.id}.{attempt}'.encode()
+            headers.append((b'Pearrun-Runner-Seal', signature))
+        if self._is_crashed_by(request) and not self.faults.crash_after_events:
             await asyncio.sleep(to_seconds(self.work_ms))
             self.crash(request.target)
             return
         if self.faults.stray_first:
-            caller.transport.write(stray_answer(b'someone-else'))
+            caller.transport.write(make_stray_response(b'someone-else'))
         if request.get(b'pearrun-token-count') is not None:
-            await self._stream(request, caller, run, headers)
+            await self._send_stream(request, caller, run, headers)
         else:
-            await self._answer(request, caller, headers)
+            await self._send_response(request, caller, headers)
 
     def _is_crashed_by(self, request):
         crash_on = self.faults.crash_on
         return crash_on is not None and request.body == crash_on
 
-    async def _answer(self, request, caller, headers):
+    async def _send_response(self, request, caller, headers):
         await asyncio.sleep(to_seconds(self.work_ms))
         body = b'answer to ' + request.target
         faults = self.faults
@@ -178,9 +189,9 @@
             return
         await caller.reply(faults.status, headers, body)
         if faults.extra:
-            caller.transport.write(stray_answer(b'late'))
+            caller.transport.write(make_stray_response(b'late'))
 
-    async def _stream(self, request, caller, run, headers):
+    async def _send_stream(self, request, caller, run, headers):
         first = int(request.get(b'last-event-id') or 0)
         run.last_event_id = first
         headers.append((b'Content-Type', b'text/event-stream'))
@@ -188,8 +199,8 @@
         caller.start(200, headers)
         for number in range(first + 1, self.event_count + 1):
             await asyncio.sleep(to_seconds(self.event_ms))
-            if faults.cut_after is not None and (
-                run.events >= faults.cut_after
+            if faults.break_after_events is not None and (
+                run.events >= faults.break_after_events
             ):
                 if faults.torn:
                     await caller.write(make_event(number)[:10])
@@ -198,7 +209,7 @@
             await caller.write(make_event(number))
             run.events += 1
             if self._is_crashed_by(request) and (
-                run.events >= faults.crash_after
+                run.events >= faults.crash_after_events
             ):
                 self.crash(request.target)
                 return
@@ -206,13 +217,13 @@
 
 
 def make_event(number):
-    """Return one event of a stream."""
+    """Return an encoded event of a stream."""
     data = f'token-{number}'.ljust(EVENT_BYTES, '.')
     return f'id: {number}\ndata: {data}\n\n'.encode()
 
 
-def stray_answer(attempt):
-    """Return a complete answer to a request nobody sent here."""
+def make_stray_response(attempt):
+    """Return a complete response to an attempt not sent to this endpoint."""
     return (
         b'HTTP/1.1 200 OK\r\nPearrun-Attempt-Id: ' + attempt + b'\r\n'
         b'Pearrun-Runner-Seal: seal.x\r\nContent-Length: 5\r\n\r\nother'
--- a/pearrun/standins/platformsite.py
+++ b/pearrun/standins/platformsite.py
@@ -1,9 +1,9 @@
-"""A small site on the platform's wire: store, API and endpoints.
+"""A small deployment of the platform: store, API and endpoints.
 
-``python3 -m pearrun.standins.platformsite --directory=DIR`` serves one on
-loopback and writes the settings files of its entry hosts into DIR; run
-``python3 -S deploy/run_host.py`` with each of them (``scripts/up-platform``
-does).
+``python3 -m pearrun.standins.platformsite --directory=DIR`` runs one on
+loopback addresses and writes the settings files of its entry hosts to
+DIR.  ``scripts/up-platform`` starts ``deploy/run_host.py`` with each of
+them.
 """
 
 import asyncio
@@ -24,13 +24,16 @@
 ENGINE = {'slots': 8, 'kv_capacity': 100_000}
 ZONES = ('zone-a', 'zone-b')
 FIRST_PORT = 8600
-HOSTS = 3
-# Time between heartbeats of endpoints.
-BEAT_MS = 200
+HOST_COUNT = 3
+# Interval between heartbeats of an endpoint.
+HEARTBEAT_INTERVAL_MS = 200
 
 
 def make_route(name, prefix, service, kind='non_idempotent', **fields):
-    """Return a route as the operator writes it."""
+    """Return a route of a configuration, in its stored form.
+
+    :param fields: fields that replace the defaults or add to them.
+    """
     route = {
         'name': name,
         'host': STREAM_HOST,
@@ -48,7 +51,10 @@
 
 
 def make_config(version=1, **fields):
-    """Return a configuration as the operator writes it."""
+    """Return a configuration in its stored form.
+
+    :param fields: top-level fields that replace the defaults.
+    """
     config = {
         'version': version,
         'routes': [
@@ -97,7 +103,13 @@
 
 
 def make_settings_fields(name, zone, ip, site, ports, **bounds):
-    """Return the settings file of a host, as fields."""
+    """Return the fields of a host's settings file.
+
+    :param site: an object with ``store_address`` and ``api_address``.
+    :param ports: the ports ``front``, ``ready`` and ``peer``; the
+        port range starts at the last one.
+    :param bounds: fields that replace those of the section ``bounds``.
+    """
     return {
         'node': name,
         'zone': zone,
@@ -108,7 +120,7 @@
             'front': f'{ip}:{ports["front"]}',
             'ready_addr': f'{ip}:{ports["ready"]}',
         },
-        'beat_ms': BEAT_MS,
+        'beat_ms': HEARTBEAT_INTERVAL_MS,
         'limits': {'memory_mb': 300, 'max_fds': 4100},
         'bounds': {'grace_s': 4, 'window_s': 1, 'usage_late_s': 3, **bounds},
         'platform': {'addr': site.store_address},
@@ -117,10 +129,10 @@
 
 
 class StandinSite:
-    """Store, API and endpoints on loopback.
+    """Store, API and endpoints on loopback addresses.
 
     :param store_address: ``IP:PORT`` of the store.
-    :param api_address: the same of the duties' API.
+    :param api_address: ``IP:PORT`` of the API.
     """
 
     def __init__(self, store_address, api_address):
@@ -136,32 +148,38 @@
         await self.api.listen(self.api_address)
 
     async def add_runner(self, name, service, address, zone='zone-a'):
-        """Start an endpoint; write its entry to the store."""
+        """Start an endpoint and write its entry to the store.
+
+        :returns: the :class:`PlatformRunner`.
+        """
         runner = PlatformRunner(name, service, zone)
         await runner.listen(address)
         self.runners[name] = runner
-        self.list_runner(runner)
+        self.publish_runner(runner)
         return runner
 
-    def list_runner(self, runner):
+    def publish_runner(self, runner):
         """Write an endpoint's entry to the store."""
-        self.store.put('servers', runner.id, runner.entry())
+        self.store.put('servers', runner.id, runner.make_entry())
+
+    async def send_heartbeats(self):
+        """Rewrite the entries of running endpoints until cancelled.
 
-    async def keep_beating(self):
-        """Send the heartbeats of all listed endpoints, without an end."""
+        An endpoint whose entry was removed sends no more heartbeats.
+        """
         while True:
-            await asyncio.sleep(to_seconds(BEAT_MS))
+            await asyncio.sleep(to_seconds(HEARTBEAT_INTERVAL_MS))
             listed = self.store.topic('keyed.servers').newest
             for runner in list(self.runners.values()):
                 if runner.id in listed and runner.ended_ms is None:
-                    self.list_runner(runner)
+                    self.publish_runner(runner)
 
     def configure(self, config):
         """Write a configuration to the store."""
         self.store.put('op', 'config', config)
 
     async def stop(self):
-        """Stop everything."""
+        """Stop the store, the API and the endpoints."""
         servers = [self.store.server, self.api.server]
         servers += [runner.server for runner in self.runners.values()]
         for server in servers:
@@ -170,27 +188,29 @@
 
 
 def render_settings(fields):
-    """Render a settings file's fields as TOML."""
+    """Return the fields of a settings file as TOML."""
     lines = []
     tables = []
     for name, value in fields.items():
         if isinstance(value, dict):
             tables.append(f'[{name}]')
-            tables.extend(f'{key} = {quote(v)}' for key, v in value.items())
+            tables.extend(
+                f'{key} = {format_value(v)}' for key, v in value.items()
+            )
         else:
-            lines.append(f'{name} = {quote(value)}')
+            lines.append(f'{name} = {format_value(value)}')
     return '\n'.join(lines + tables) + '\n'
 
 
-def quote(value):
-    """Render a string, a number or a list of these as TOML."""
+def format_value(value):
+    """Return a string, a number or a list of these as TOML."""
     if isinstance(value, list):
-        return '[' + ', '.join(quote(item) for item in value) + ']'
+        return '[' + ', '.join(format_value(item) for item in value) + ']'
     return f'"{value}"' if isinstance(value, str) else str(value)
 
 
 async def serve(directory):
-    """Serve a site until stopped; write its hosts' settings files."""
+    """Run a deployment until cancelled; write its hosts' settings files."""
     site = StandinSite(
         f'127.0.0.1:{FIRST_PORT}', f'127.0.0.1:{FIRST_PORT + 1}'
     )
@@ -205,7 +225,7 @@
         'ready': FIRST_PORT + 21,
         'peer': FIRST_PORT + 22,
     }
-    for number in range(1, HOSTS + 1):
+    for number in range(1, HOST_COUNT + 1):
         fields = make_settings_fields(
             f'host-{number}',
             ZONES[number % len(ZONES)],
@@ -216,16 +236,16 @@
         path = pathlib.Path(directory) / f'host-{number}.toml'
         path.write_text(render_settings(fields))
     print(f'serving; settings files are in {directory}', flush=True)
-    await site.keep_beating()
+    await site.send_heartbeats()
 
 
 def main(argv):
-    """Serve until stopped."""
+    """Run a deployment until the process ends."""
     del argv
     asyncio.run(serve(FLAGS.directory))
 
 
 if __name__ == '__main__':
-    flags.DEFINE_string('directory', None, 'Where settings files go.')
+    flags.DEFINE_string('directory', None, 'Directory for the settings files.')
     flags.mark_flag_as_required('directory')
     absl_app.run(main)
--- a/pearrun/standins/platformstore.py
+++ b/pearrun/standins/platformstore.py
@@ -1,7 +1,9 @@
-"""Stand-in of the platform's store: logs, some of them keyed.
+"""Stand-in for the platform's store, which keeps logs.
 
-Speaks the published wire on loopback.  Faults are switched on in its
-:class:`StoreFaults`, so that tests meet outages and lost answers.
+The records of some logs have keys; of these the store also keeps the
+newest record of each key.  It implements the published HTTP protocol.
+Tests inject faults, such as outages and lost responses, through its
+:class:`StoreFaults`.
 """
 
 import asyncio
@@ -17,55 +19,64 @@
 LENGTH = struct.Struct('>I')
 BOUNDS = struct.Struct('>QQ')
 JSON = [(b'Content-Type', b'application/json')]
-PAGE = 500
+PAGE_ITEMS = 500
 
 
 @dataclasses.dataclass
 class StoreFaults:
-    """What goes wrong now.
-
-    :param status: answer every call with this status; 0 for none.
-    :param silent: take calls and never answer.
-    :param lose_answers: this many next appends happen and are not
-        answered.
-    :param refused_hosts: source addresses that get 503.
-    :param missed_records: reads that wait do not see what comes, and
-        answer at the end of their wait.
+    """Faults that are being injected.
+
+    :param status: status of the responses to all calls; 0 for none.
+    :param silent: accept calls but never respond.
+    :param lose_answers: number of next appends that are applied but
+        not acknowledged.
+    :param refused_hosts: source addresses whose calls get status 503.
+    :param long_polls_miss_appends: appends do not wake waiting reads,
+        which respond only when their waiting time has passed.
     """
 
     status: int = 0
     silent: bool = False
     lose_answers: int = 0
     refused_hosts: frozenset[str] = frozenset()
-    missed_records: bool = False
+    long_polls_miss_appends: bool = False
 
 
 class Topic:
-    """One partition: records from ``first`` on."""
+    """The log of a topic, in a single partition.
+
+    ``first`` is the offset of the oldest record that is kept,
+    ``newest`` maps each key to its newest value and that one's offset,
+    and the next append sets the event ``appended``.
+    """
 
     def __init__(self):
         self.first = 0
         self.records = []
         self.newest = {}
-        self.grown = asyncio.Event()
+        self.appended = asyncio.Event()
 
     @property
     def end(self):
-        """The offset after the last record."""
+        """The offset of the next record appended."""
         return self.first + len(self.records)
 
     def append(self, records, keyed):
-        """Append records; return the first one's offset."""
+        """Append records.
+
+        :param keyed: whether the records have keys.
+        :returns: the offset of the first one.
+        """
         offset = self.end
         for index, record in enumerate(records):
             self.records.append(record)
             if keyed:
-                self._keep_newest(record, offset + index)
-        self.grown.set()
-        self.grown = asyncio.Event()
+                self._update_newest(record, offset + index)
+        self.appended.set()
+        self.appended = asyncio.Event()
         return offset
 
-    def _keep_newest(self, record, offset):
+    def _update_newest(self, record, offset):
         size = record[0]
         key = record[1 : 1 + size].decode()
         value = record[1 + size :]
@@ -76,7 +87,11 @@
 
 
 class PlatformStore:
-    """The store; :meth:`put` writes as the operator or a runner would."""
+    """The store.
+
+    :meth:`put` writes what operators and endpoints write to the real
+    one.
+    """
 
     def __init__(self):
         self.topics = {}
@@ -85,25 +100,26 @@
         self.server = Server(self._handle)
 
     async def listen(self, address):
-        """Begin to serve on ``IP:PORT``."""
+        """Start serving on ``IP:PORT``."""
         await self.server.listen(address)
 
     def topic(self, name):
-        """Return a topic, made on first use."""
+        """Return a topic; create it if it does not exist."""
         return self.topics.setdefault(name, Topic())
 
     def put(self, topic, key, value):
-        """Write a key of a keyed topic.
+        """Write the value of a key to a keyed topic.
 
-        :param value: a JSON-ready body; ``None`` removes the key.
+        :param value: a value to encode as JSON; ``None`` removes the
+            key.
         """
         name = key.encode()
         data = b'' if value is None else json.dumps(value).encode()
         record = bytes([len(name)]) + name + data
         self.topic(f'keyed.{topic}').append([record], True)
 
-    def forget_history(self, name):
-        """Delete a topic's records; the newest of each key stays."""
+    def delete_history(self, name):
+        """Delete a topic's records, but not the newest value of each key."""
         topic = self.topic(name)
         topic.first = topic.end
         topic.records = []
@@ -151,9 +167,9 @@
             await caller.reply(410, JSON, reply)
             return
         if start >= topic.end and 'wait_ms' in query:
-            missed = self.faults.missed_records
-            grown = asyncio.Event() if missed else topic.grown
-            await wait_for(grown, int(query['wait_ms']))
+            misses_appends = self.faults.long_polls_miss_appends
+            appended = asyncio.Event() if misses_appends else topic.appended
+            await wait_for(appended, int(query['wait_ms']))
         records = topic.records[max(0, start - topic.first) :]
         body = BOUNDS.pack(topic.end, topic.first) + join_records(records)
         await caller.reply(200, [], body)
@@ -168,18 +184,18 @@
                 'value': base64.b64encode(topic.newest[key][0]).decode(),
                 'offset': topic.newest[key][1],
             }
-            for key in keys[:PAGE]
+            for key in keys[:PAGE_ITEMS]
         ]
         reply = {
             'items': items,
-            'has_more': len(keys) > PAGE,
+            'has_more': len(keys) > PAGE_ITEMS,
             'end': topic.end,
         }
         await caller.reply(200, JSON, json.dumps(reply).encode())
 
 
 async def wait_for(event, wait_ms):
-    """Wait for an event, or for so many milliseconds."""
+    """Wait until an event is set, for ``wait_ms`` at most."""
     try:
         async with asyncio.timeout(to_seconds(wait_ms)):
             await event.wait()
@@ -188,7 +204,7 @@
 
 
 def split_records(body):
-    """Split a call's body into records."""
+    """Split the body of a request into records."""
     records = []
     while body:
         (size,) = LENGTH.unpack_from(body)
@@ -198,5 +214,5 @@
 
 
 def join_records(records):
-    """Join records into a body."""
+    """Join records into the body of a response."""
     return b''.join(LENGTH.pack(len(item)) + item for item in records)
--- a/pearrun/standins/service.py
+++ b/pearrun/standins/service.py
@@ -1,8 +1,9 @@
-"""Plain service stand-in: a call that must not be repeated.
+"""Plain service stand-in, whose calls are not idempotent.
 
-Protocol: ``POST /v1/call`` ``{key, payload}`` runs the call once more
-and answers ``{result, executions}``; ``GET /v1/executions`` tells how
-many times each key ran, so a test can prove at-most-once.
+Protocol: ``POST /v1/call`` ``{key, payload}`` executes the call and
+returns ``{result, executions}``; ``GET /v1/executions`` returns how
+often each key was executed, so that tests can check at-most-once
+execution.
 """
 
 import asyncio
@@ -15,7 +16,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class ServiceConfig:
-    """How the plain service stand-in behaves."""
+    """Configuration of the plain service stand-in."""
 
     endpoint_id: str
     delay_ms: int = 20
--- a/pearrun/standins/text.py
+++ b/pearrun/standins/text.py
@@ -1,7 +1,7 @@
-"""Deterministic token text for the engine stand-in.
+"""Deterministic token generation for the engine stand-in.
 
-An answer depends only on the prompt, the seed and the token index, so
-a test can compute the whole expected answer and compare.
+Each token depends only on the prompt, the seed and the token index, so
+that tests can compute the complete answer they expect.
 """
 
 import hashlib
@@ -16,7 +16,7 @@
 
 
 def split_tokens(prompt):
-    """Split a prompt into tokens (whitespace words)."""
+    """Split a prompt into tokens, the words between white space."""
     return prompt.split()
 
 
@@ -24,10 +24,10 @@
     return hashlib.blake2b(text.encode('utf-8'), digest_size=8).hexdigest()
 
 
-def answer_token(prompt, seed, index):
-    """Return the token an engine emits at ``index`` for a prompt.
+def generate_token(prompt, seed, index):
+    """Return the token at one position of the answer to a prompt.
 
-    :param prompt: the whole prompt text.
+    :param prompt: the complete prompt.
     :param seed: an integer seed from the request.
     :param index: 0-based position in the answer.
     :returns: one word.
@@ -38,25 +38,29 @@
     return VOCABULARY[int.from_bytes(digest, 'big') % len(VOCABULARY)]
 
 
-def answer_tokens(prompt, seed, count, start=0):
+def generate_tokens(prompt, seed, count, start=0):
     """Return tokens ``start`` .. ``count - 1`` of the answer."""
-    return [answer_token(prompt, seed, i) for i in range(start, count)]
+    return [generate_token(prompt, seed, i) for i in range(start, count)]
 
 
-def answer_text(prompt, seed, count):
-    """Return the whole answer as text, tokens joined by spaces."""
-    return ' '.join(answer_tokens(prompt, seed, count))
+def generate_answer(prompt, seed, count):
+    """Return the complete answer, its tokens joined by spaces."""
+    return ' '.join(generate_tokens(prompt, seed, count))
 
 
-def block_hashes(tokens, block=BLOCK_TOKENS):
-    """Return chained hashes of the prompt's full blocks.
+def hash_blocks(tokens, block_tokens=BLOCK_TOKENS):
+    """Return chained hashes of the full blocks of a token sequence.
 
-    Block ``i`` hashes block ``i - 1``'s hash with its own tokens, so
-    equal hashes mean equal prefixes.
+    The hash of a block covers the hash of the block before and its own
+    tokens, so equal hashes mean equal prefixes.
+
+    :param block_tokens: tokens per block.
     """
     hashes = []
     previous = ''
-    for start in range(0, len(tokens) - block + 1, block):
-        previous = _digest(previous + ' '.join(tokens[start : start + block]))
+    for start in range(0, len(tokens) - block_tokens + 1, block_tokens):
+        previous = _digest(
+            previous + ' '.join(tokens[start : start + block_tokens])
+        )
         hashes.append(previous)
     return hashes
--- a/tests/callers.py
+++ b/tests/callers.py
@@ -31,7 +31,7 @@
     def expected(self):
         if self.send.key is not None:
             return f'acknowledged {self.prompt}'
-        return text.answer_text(self.prompt, 0, self.send.tokens)
+        return text.generate_answer(self.prompt, 0, self.send.tokens)
 
     def start(self):
         """Send it; open calls go on in a thread of their own."""
--- a/tests/crashes.py
+++ b/tests/crashes.py
@@ -31,7 +31,7 @@
     async with run_site(make_config(), runners, hosts) as site:
         for runner in site.runners.values():
             runner.faults.crash_on = CRASHING
-        beating = asyncio.create_task(site.keep_beating())
+        beating = asyncio.create_task(site.send_heartbeats())
         await wait_until_heard(site)
         try:
             yield site
--- a/tests/soak/play.py
+++ b/tests/soak/play.py
@@ -91,7 +91,7 @@
                 site.store.faults.lose_answers += count
             case faults.ForgetHistory():
                 for name in list(site.store.topics):
-                    site.store.forget_history(name)
+                    site.store.delete_history(name)
             case faults.SpoilEndpoint(endpoint, kind, for_ms):
                 place = site.places[endpoint]
                 site.spoil(place, kind, True)
--- a/tests/soak/site.py
+++ b/tests/soak/site.py
@@ -90,7 +90,7 @@
         self.change_routes()
         for place in self.places.values():
             await self.fill(place)
-        self.spawn(self.keep_beating())
+        self.spawn(self.send_heartbeats())
         for number, name in enumerate(self.host_names, 1):
             await self.start_host(number, name)
 
@@ -146,13 +146,13 @@
             await self.add_link(f'endpoint-{place.name}', runner.address)
             place.link = self.links[f'endpoint-{place.name}']
         place.runner = self.runners[name] = runner
-        self.list_runner(runner)
+        self.publish_runner(runner)
 
-    def list_runner(self, runner):
+    def publish_runner(self, runner):
         """Write an endpoint's entry, with its link's address."""
         place = self.places[runner.id.rpartition('-')[0]]
         port = place.link.config.listen_port
-        entry = {**runner.entry(), 'addr': f'127.0.0.1:{port}'}
+        entry = {**runner.make_entry(), 'addr': f'127.0.0.1:{port}'}
         self.store.put('servers', runner.id, entry)
 
     async def replace(self, place, announced, same_address):
@@ -160,7 +160,7 @@
         runner = place.runner
         if announced:
             runner.state = 'draining'
-            self.list_runner(runner)
+            self.publish_runner(runner)
             self.left_ms[runner.id] = self.clock.now()
             if not same_address:
                 await self.fill(place)
--- a/tests/test_bench.py
+++ b/tests/test_bench.py
@@ -100,7 +100,7 @@
 )
 def test_only_whole_answers_in_time_count_as_within_target(changes, within):
     targets = settings_module.Targets()
-    assert report.is_within(outcome(**changes), targets) is within
+    assert report.meets_targets(outcome(**changes), targets) is within
 
 
 def test_bench_plays_policies_and_writes_report_and_plot(tmp_path):
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -55,7 +55,7 @@
     async def main():
         async with run_crashing_site() as site:
             for runner in site.runners.values():
-                runner.faults.crash_after = 2
+                runner.faults.crash_after_events = 2
             await check_stopped(site, '/short/x')
 
     asyncio.run(main())
@@ -98,7 +98,7 @@
     async def scenario(site, hosts):
         for runner in site.runners.values():
             runner.faults.crash_on = CRASHING
-        beating = asyncio.create_task(site.keep_beating())
+        beating = asyncio.create_task(site.send_heartbeats())
         await send_often(site, '/once/x', SENDS)
         beating.cancel()
         assert count_crashed(site, '/once/x') <= 4
--- a/tests/test_end_to_end.py
+++ b/tests/test_end_to_end.py
@@ -43,7 +43,7 @@
 def test_whole_answer(cluster):
     status, _, body = completion(cluster, 'fault log site one', user=None)
     assert status == 200
-    assert body['choices'][0]['text'] == text.answer_text(
+    assert body['choices'][0]['text'] == text.generate_answer(
         'fault log site one', 0, 12
     )
 
@@ -64,7 +64,7 @@
     ]
     pieces = [e['choices'][0]['text'] for e in events if 'choices' in e]
     assert [e['index'] for e in events if 'choices' in e] == list(range(20))
-    assert ''.join(pieces) == text.answer_text('driver file 7', 0, 20)
+    assert ''.join(pieces) == text.generate_answer('driver file 7', 0, 20)
     assert events[-1]['state'] == 'done'
 
 
@@ -93,7 +93,7 @@
     _, _, body = completion(cluster, 'status check')
     _, _, status = call_json(f'{daemon_url(cluster)}/v1/requests/{body["id"]}')
     assert status['state'] == 'done'
-    assert status['text'] == text.answer_text('status check', 0, 12)
+    assert status['text'] == text.generate_answer('status check', 0, 12)
 
 
 def test_non_idempotent_without_key_gets_code_1203(cluster):
@@ -167,7 +167,7 @@
         status, headers, body = completion(cluster, 'during outage')
     assert status == 200
     assert headers['X-Pearrun-Durable'] == 'false'
-    assert body['choices'][0]['text'] == text.answer_text(
+    assert body['choices'][0]['text'] == text.generate_answer(
         'during outage', 0, 12
     )
 
@@ -191,7 +191,7 @@
     _, _, status = call_json(
         f'{daemon_url(cluster, 2)}/v1/requests/{body["id"]}'
     )
-    assert status['text'] == text.answer_text('asked at one host', 0, 12)
+    assert status['text'] == text.generate_answer('asked at one host', 0, 12)
 
 
 def test_stream_resumes_by_id_from_a_token_on_the_other_host(cluster):
@@ -204,7 +204,7 @@
         if line.startswith('data: {')
     ]
     tokens = [e['token'] for e in events if 'choices' in e]
-    assert tokens == text.answer_tokens('to be resumed', 0, 12, start=5)
+    assert tokens == text.generate_tokens('to be resumed', 0, 12, start=5)
 
 
 def test_bad_resume_index_gets_code_1200(cluster):
--- a/tests/test_platform_duties.py
+++ b/tests/test_platform_duties.py
@@ -70,7 +70,7 @@
             for number in range(9):
                 await call(hosts[number % 3], '/once/', f'a{number}')
             await wait_until(lambda: count_usage(site) == 9, 8)
-            windows = [window for window, _ in site.api.usage()]
+            windows = [window for window, _ in site.api.list_usage_reports()]
             assert len(windows) == len(set(windows))
             assert len({c.holder for c in site.api.calls}) == 1
 
@@ -80,7 +80,8 @@
 def count_usage(site):
     """Return the number of calls reported for anna, each window once."""
     return sum(
-        counts.get('anna', 0) for counts in dict(site.api.usage()).values()
+        counts.get('anna', 0)
+        for counts in dict(site.api.list_usage_reports()).values()
     )
 
 
@@ -95,14 +96,14 @@
             del site.hosts[first.settings.name]
             await wait_until(lambda: find_holders(site), 10)
             (second,) = find_holders(site)
-            before = dict(site.api.usage())
+            before = dict(site.api.list_usage_reports())
             await wait_until(
                 lambda: any(
                     c.holder == second.settings.name for c in site.api.calls
                 ),
                 8,
             )
-            reports = site.api.usage()
+            reports = site.api.list_usage_reports()
             for window, counts in reports:
                 assert before.get(window, counts) == counts
             tokens = [c.fencing for c in site.api.calls]
@@ -114,9 +115,9 @@
 def test_spot_endpoints_are_ordered_before_on_demand_ones_are_released():
     async def main():
         async with run_site(scaled_config(), PLAIN) as site:
-            await wait_until(lambda: site.api.orders())
+            await wait_until(lambda: site.api.list_orders())
             await asyncio.sleep(0.5)
-            orders = site.api.orders()
+            orders = site.api.list_orders()
             fewest = scaling.ScalingSettings().fewest
             spot = [order for order in orders if order.get('spot')]
             lasting = [order for order in orders if not order.get('spot')]
--- a/tests/test_platform_path.py
+++ b/tests/test_platform_path.py
@@ -316,7 +316,7 @@
 def test_resumable_stream_resumes_at_another_endpoint():
     async def scenario(site, host):
         for runner in site.runners.values():
-            runner.faults.cut_after = 3
+            runner.faults.break_after_events = 3
             runner.faults.torn = True
         response = await call(host, '/long/', 'a1', 'POST', **make_prompt())
         assert response.complete
@@ -330,7 +330,7 @@
 def test_non_resumable_streams_are_truncated_and_run_once():
     async def scenario(site, host):
         for runner in site.runners.values():
-            runner.faults.cut_after = 2
+            runner.faults.break_after_events = 2
             runner.faults.torn = True
         response = await call(host, '/short/', 'a1', 'POST', **make_prompt())
         assert response.status == 200
@@ -442,12 +442,12 @@
             (daemon,) = site.hosts.values()
             first = site.runners['p1']
             await asyncio.sleep(0.4)
-            site.store.faults.missed_records = True
+            site.store.faults.long_polls_miss_appends = True
             # A change ends the current long poll; the next read misses one.
-            site.list_runner(first)
+            site.publish_runner(first)
             await asyncio.sleep(0.4)
             first.state = 'draining'
-            site.list_runner(first)
+            site.publish_runner(first)
             listed_ms = daemon.clock.now()
             await wait_until(
                 lambda: daemon.host.fleet.find_by_service('plain') == []
@@ -462,7 +462,7 @@
     """No other host forwards it; the long poll used to last up to 25 s."""
 
     async def scenario(site, host):
-        site.store.faults.missed_records = True
+        site.store.faults.long_polls_miss_appends = True
         # A change ends the current long poll; the next read misses one.
         site.configure(make_config(2))
         await wait_until(lambda: host.host.config.version == 2)
@@ -520,7 +520,7 @@
     async def scenario(site, host):
         first = site.runners['p1']
         first.state = 'draining'
-        site.list_runner(first)
+        site.publish_runner(first)
         await wait_until(
             lambda: len(host.host.fleet.find_by_service('plain')) == 1
         )
@@ -537,8 +537,8 @@
 def test_expired_history_is_replaced_by_a_new_snapshot():
     async def scenario(site, host):
         site.store.put('servers', 'p1', None)
-        site.store.forget_history('keyed.servers')
-        site.store.forget_history('keyed.op')
+        site.store.delete_history('keyed.servers')
+        site.store.delete_history('keyed.op')
         await site.add_runner('p9', 'plain')
         await wait_until(
             lambda: set(host.host.fleet.endpoints) == {'p2', 'p9'}
@@ -554,7 +554,7 @@
         await host.store.put('hosts', 'gone', membership.encode(member))
         await wait_until(lambda: 'gone' in members.members)
         site.store.put('hosts', 'gone', None)
-        site.store.forget_history('keyed.hosts')
+        site.store.delete_history('keyed.hosts')
         await wait_until(lambda: 'gone' not in members.members)
 
     run_scenario(scenario, runners=TWO_PLAIN)
--- a/tests/test_topology.py
+++ b/tests/test_topology.py
@@ -187,7 +187,8 @@
 def count_reported(site):
     """Return all calls reported for anna, a window counted once."""
     return sum(
-        counts.get('anna', 0) for counts in dict(site.api.usage()).values()
+        counts.get('anna', 0)
+        for counts in dict(site.api.list_usage_reports()).values()
     )
 
 
@@ -286,7 +287,7 @@
                 connection.abort()
             runner = site.runners['p1']
             runner.state = 'draining'
-            site.list_runner(runner)
+            site.publish_runner(runner)
             listed_ms = reader.clock.now()
             for daemon in hosts:
                 if daemon is not reader:
--- a/tests/test_usage_saving.py
+++ b/tests/test_usage_saving.py
@@ -228,7 +228,7 @@
             assert host.duties.view.fencing == fencing
             orders = {
                 (order['zone'], order.get('spot', False))
-                for order in site.api.orders()
+                for order in site.api.list_orders()
             }
             assert len(orders) == 2 * len(zones)
 
