--- a/pearrun/bench/__init__.py
+++ b/pearrun/bench/__init__.py
@@ -1,7 +1,8 @@
-"""The load and experiment tool behind ``pearrun bench``.
+"""Load tests and experiments: the tool behind ``pearrun bench``.
 
-It drives daemons and stand-ins that are already running on
-127.0.0.0/8, with arrivals like a show's audience and faults from a
-schedule, bounded in requests and time, and reports the brief's two
-measures: cost at the latency target, and recomputed tokens.
+It sends requests to daemons that are already running on 127.0.0.0/8,
+with bursts of arrivals, and injects scheduled faults into their
+stand-ins.  The number of requests and the duration are limited.  The
+main results are the cost per request answered within the latency
+targets and the number of recomputed tokens.
 """
--- a/pearrun/bench/caller.py
+++ b/pearrun/bench/caller.py
@@ -1,4 +1,4 @@
-"""One caller: sends a request, comes back when told to, times it."""
+"""A caller: sends one request, retries it and measures latencies."""
 
 import asyncio
 import dataclasses
@@ -12,12 +12,18 @@
 from pearrun.bench.arrivals import Arrival
 
 CONNECT_TIMEOUT = aiohttp.ClientTimeout(total=None, sock_connect=2)
-DEFAULT_PAUSE_S = 0.2
-MIN_PAUSE_S = 0.02
+DEFAULT_RETRY_DELAY_S = 0.2
+MIN_RETRY_DELAY_S = 0.02
 
 
 class OutcomeKind(enum.Enum):
-    """What became of a request, as its caller saw it."""
+    """The outcome of a request from the caller's point of view.
+
+    ``WHOLE`` means a complete and correct answer, ``WRONG`` any other
+    answer, ``REFUSED`` a refusal, ``UNKNOWN`` the error that it is not
+    known whether the request was executed, and ``LOST`` that no answer
+    came in time.
+    """
 
     WHOLE = 'whole'
     WRONG = 'wrong'
@@ -28,7 +34,17 @@
 
 @dataclasses.dataclass
 class Outcome:
-    """What one caller got; times are in ms from the request's arrival."""
+    """The result of one request.
+
+    ``ttft_ms`` and ``total_ms`` are counted from the request's arrival.
+
+    :param ttft_ms: time to the first token.
+    :param gaps_ms: times between tokens.
+    :param total_ms: time to the end of the answer.
+    :param refusals: number of refusals before the end.
+    :param resumes: number of connection errors after the request had
+        been given an id.
+    """
 
     arrival: Arrival
     kind: OutcomeKind = OutcomeKind.LOST
@@ -40,11 +56,11 @@
 
 
 class Caller:
-    """Plays one arrival against the daemons.
+    """Sends the request of one arrival to the daemons.
 
     :param session: an :class:`aiohttp.ClientSession`.
     :param plan: the :class:`Plan`.
-    :param arrival: the :class:`Arrival` to play.
+    :param arrival: the :class:`Arrival`.
     """
 
     def __init__(self, session, plan, arrival):
@@ -53,50 +69,51 @@
         self.outcome = Outcome(arrival)
         self.request_id = None
         self.tokens = []
-        self.last = None
+        self.last_token_ms = None
 
     def now_ms(self):
-        """Return monotonic time in fractional milliseconds."""
+        """Return monotonic time in milliseconds, with a fraction."""
         return time.monotonic_ns() / 1e6
 
     async def run(self, start):
-        """Wait for the arrival's time, then see the request through.
+        """Send the request at its arrival time and wait for its end.
 
-        :param start: event loop time of the round's start.
+        :param start: the round's start, in event loop time.
         :returns: the :class:`Outcome`.
         """
         loop = asyncio.get_running_loop()
         wait_s = start + self.outcome.arrival.at_s - loop.time()
         await asyncio.sleep(max(0, wait_s))
-        self.begun = self.last = self.now_ms()
+        self.started_ms = self.last_token_ms = self.now_ms()
         try:
             async with asyncio.timeout(self.plan.give_up_s):
-                await self.see_through()
+                await self.retry_until_ended()
         except TimeoutError:
             if self.request_id is None and self.outcome.refusals:
                 self.outcome.kind = OutcomeKind.REFUSED
         return self.outcome
 
-    async def see_through(self):
-        """Send the request, and come back until it has its answer."""
+    async def retry_until_ended(self):
+        """Send the request, and retry or resume it until it has ended."""
         while True:
             try:
-                pause_s = await self.attempt()
+                delay_s = await self.attempt()
             except (aiohttp.ClientError, OSError):
-                pause_s = DEFAULT_PAUSE_S
+                delay_s = DEFAULT_RETRY_DELAY_S
                 self.outcome.resumes += self.request_id is not None
-            if pause_s is None:
+            if delay_s is None:
                 return
-            await asyncio.sleep(pause_s)
+            await asyncio.sleep(delay_s)
 
     async def attempt(self):
-        """Send the request, or resume it by id.
+        """Send the request, or resume its stream by id.
 
-        :returns: ``None`` when it has ended, else seconds to wait.
+        :returns: ``None`` if the request has ended, else the seconds
+            to wait before the next attempt.
         """
         base = random.choice(self.plan.daemons)
-        mix = self.outcome.arrival.mix
-        if self.request_id is not None and not mix.once:
+        request_kind = self.outcome.arrival.request_kind
+        if self.request_id is not None and not request_kind.once:
             params = {'stream': 'true', 'from': str(len(self.tokens))}
             call = self.session.get(
                 f'{base}/v1/requests/{self.request_id}',
@@ -107,11 +124,11 @@
             call = self.session.post(
                 f'{base}/v1/completions',
                 json={
-                    'model': mix.service,
-                    'user': mix.customer,
+                    'model': request_kind.service,
+                    'user': request_kind.customer,
                     'prompt': self.outcome.arrival.prompt,
-                    'max_tokens': mix.tokens,
-                    'stream': not mix.once,
+                    'max_tokens': request_kind.tokens,
+                    'stream': not request_kind.once,
                 },
                 headers={'Idempotency-Key': self.outcome.arrival.key},
                 timeout=CONNECT_TIMEOUT,
@@ -121,16 +138,22 @@
                 'X-Request-Id', self.request_id
             )
             if reply.status != 200:
-                return self.refused(reply.status, await reply.read(), reply)
-            if mix.once:
+                return self.handle_error(
+                    reply.status, await reply.read(), reply
+                )
+            if request_kind.once:
                 body = await reply.json()
-                self.take(body['choices'][0]['text'])
-                return self.end()
+                self.record_token(body['choices'][0]['text'])
+                return self.finish()
             return await self.read_events(reply)
 
-    def refused(self, status, raw, reply):
-        """Note a refusal; say when to come back, if at all."""
+    def handle_error(self, status, raw, reply):
+        """Record an error response.
+
+        :returns: as :meth:`attempt`.
+        """
         code = orjson.loads(raw)['error']['code']
+        # The code of OutcomeUnknownError.
         if code == 1502:
             self.outcome.kind = OutcomeKind.UNKNOWN
             return None
@@ -139,33 +162,38 @@
         if retry_after is None and status < 500:
             self.outcome.kind = OutcomeKind.REFUSED
             return None
-        return max(MIN_PAUSE_S, float(retry_after or DEFAULT_PAUSE_S))
+        return max(
+            MIN_RETRY_DELAY_S, float(retry_after or DEFAULT_RETRY_DELAY_S)
+        )
 
     async def read_events(self, reply):
-        """Read a stream; its break makes the caller come back."""
+        """Read the events of a stream.
+
+        :returns: as :meth:`attempt`; a stream that breaks is resumed.
+        """
         async for raw in reply.content:
             if not raw.startswith(b'data: {'):
                 continue
             event = orjson.loads(raw[len(b'data: ') :])
             if 'choices' in event:
                 if event['index'] == len(self.tokens):
-                    self.take(event['token'])
+                    self.record_token(event['token'])
             else:
-                return self.end()
-        return DEFAULT_PAUSE_S
+                return self.finish()
+        return DEFAULT_RETRY_DELAY_S
 
-    def take(self, token):
-        """Take one token and the time it took."""
+    def record_token(self, token):
+        """Record a token and its latency."""
         now = self.now_ms()
         if self.outcome.ttft_ms is None:
-            self.outcome.ttft_ms = now - self.begun
+            self.outcome.ttft_ms = now - self.started_ms
         else:
-            self.outcome.gaps_ms.append(now - self.last)
-        self.last = now
+            self.outcome.gaps_ms.append(now - self.last_token_ms)
+        self.last_token_ms = now
         self.tokens.append(token)
 
-    def end(self):
-        """Judge the whole answer."""
-        self.outcome.total_ms = self.now_ms() - self.begun
-        whole = ' '.join(self.tokens) == self.outcome.arrival.expected
-        self.outcome.kind = OutcomeKind.WHOLE if whole else OutcomeKind.WRONG
+    def finish(self):
+        """Record the end of the answer and check its text."""
+        self.outcome.total_ms = self.now_ms() - self.started_ms
+        correct = ' '.join(self.tokens) == self.outcome.arrival.expected
+        self.outcome.kind = OutcomeKind.WHOLE if correct else OutcomeKind.WRONG
--- a/pearrun/bench/experiment.py
+++ b/pearrun/bench/experiment.py
@@ -1,4 +1,4 @@
-"""An experiment: rounds of the same demand under each policy in turn."""
+"""Experiments: rounds of the same requests under each routing policy."""
 
 import asyncio
 import time
@@ -15,12 +15,12 @@
 from pearrun.bench.meter import Meter
 from pearrun.bench.report import Round
 
-IN_FORCE_S = 20
-POLL_S = 0.05
+CONFIG_TIMEOUT_S = 20
+POLL_INTERVAL_S = 0.05
 
 
-def with_policy(tree, policy):
-    """Return a tree whose services are all routed by one policy."""
+def apply_policy(tree, policy):
+    """Return a configuration tree with one policy for all services."""
     teams = {}
     for name, team in tree.teams.items():
         services = {
@@ -32,10 +32,10 @@
 
 
 class Experiment:
-    """Plays a plan's rounds.
+    """Runs the rounds of a plan.
 
-    :param plan: a checked :class:`Plan`.
-    :param show: called with a line of text on progress.
+    :param plan: the :class:`Plan`.
+    :param show: called with lines of text that describe the progress.
     """
 
     def __init__(self, plan, show=print):
@@ -44,14 +44,18 @@
         self.tree = None
 
     async def run(self):
-        """Play every round.
+        """Run all rounds.
 
-        Policies take turns within each round's number, so that a slow
-        spell of the machine falls on all of them.
+        All policies run a round before the next one starts, so that a
+        temporarily slow machine affects each of them.
 
-        :returns: a list of :class:`Round`; :attr:`tree` is then the
-            published tree the rounds were judged by.
-        :raises PearrunError: no configuration, or not in force in time.
+        Sets :attr:`tree` to the published configuration, which has the
+        targets of the services.
+
+        :returns: a list of :class:`Round`.
+        :raises PearrunError: no configuration is published.
+        :raises TimeoutError: a daemon did not apply a configuration
+            within ``CONFIG_TIMEOUT_S``.
         """
         connector = aiohttp.TCPConnector(limit=0)
         async with aiohttp.ClientSession(connector=connector) as session:
@@ -71,37 +75,39 @@
                 for policy in self.plan.policies:
                     await self.set_policy(session, log, platform, policy)
                     rounds.append(
-                        await self.play_round(session, number, policy)
+                        await self.run_round(session, number, policy)
                     )
             return rounds
 
     async def set_policy(self, session, log, platform, policy):
-        """Publish a policy and wait until every daemon has it."""
+        """Publish a policy and wait until all daemons have applied it."""
         version, _ = await config.publish(
-            log, platform.config_stream, with_policy(self.tree, policy)
+            log, platform.config_stream, apply_policy(self.tree, policy)
         )
         for base in self.plan.daemons:
-            async with asyncio.timeout(IN_FORCE_S):
+            async with asyncio.timeout(CONFIG_TIMEOUT_S):
                 while not await self.has_version(session, base, version):
-                    await asyncio.sleep(POLL_S)
+                    await asyncio.sleep(POLL_INTERVAL_S)
 
     async def has_version(self, session, base, version):
-        """Say whether a daemon has a version in force."""
+        """Tell whether a daemon has applied a configuration version."""
         async with session.get(f'{base}/v1/status') as reply:
             return (await reply.json())['config_version'] >= version
 
-    async def play_round(self, session, number, policy):
-        """Play one round under one policy, from empty caches."""
+    async def run_round(self, session, number, policy):
+        """Run a round under one policy, with prefix caches empty at first."""
         for host in self.plan.hosts:
             try:
                 await faults.post(session, f'{host.url}/admin/forget', {})
             except aiohttp.ClientError:
-                logger.warning('host does not answer', host=host.id)
+                logger.warning('host unreachable', host=host.id)
         label = f'{policy.value}-{time.time_ns()}'
         arrivals = draw_round(self.plan, number, label)
         meter = Meter(session, self.plan)
-        metering = asyncio.create_task(meter.run())
-        schedule = asyncio.create_task(faults.play_faults(session, self.plan))
+        meter_task = asyncio.create_task(meter.run())
+        fault_task = asyncio.create_task(
+            faults.inject_faults(session, self.plan)
+        )
         started = time.monotonic()
         start = asyncio.get_running_loop().time()
         callers = [Caller(session, self.plan, a) for a in arrivals]
@@ -115,7 +121,7 @@
                     f'{len(outcomes)}/{len(runs)} answered'
                 )
         wall_s = time.monotonic() - started
-        await schedule
-        await asyncio.sleep(2 * POLL_S)
-        metering.cancel()
+        await fault_task
+        await asyncio.sleep(2 * POLL_INTERVAL_S)
+        meter_task.cancel()
         return Round(policy.value, number, outcomes, meter, wall_s)
--- a/pearrun/bench/faults.py
+++ b/pearrun/bench/faults.py
@@ -1,4 +1,4 @@
-"""Bringing a round's faults about, through the stand-ins' admin ports."""
+"""Fault injection through the administrative API of the stand-ins."""
 
 import asyncio
 
@@ -6,16 +6,16 @@
 
 
 async def post(session, url, body):
-    """Post to a stand-in's admin port.
+    """Send a POST request to a stand-in.
 
-    :raises aiohttp.ClientError: it does not answer.
+    :raises aiohttp.ClientError: it did not respond.
     """
     async with session.post(url, json=body) as reply:
         await reply.read()
 
 
 async def reclaim(session, plan, fault):
-    """Announce a zone's reclaim and end its hosts after the notice."""
+    """Issue reclaim notices for a zone and stop its hosts when they end."""
     await post(
         session,
         f'{plan.cloud_url}/admin/reclaim',
@@ -30,10 +30,10 @@
             )
 
 
-async def bring_about(session, plan, fault):
-    """Wait for a fault's time and bring it about."""
+async def inject(session, plan, fault):
+    """Inject a fault at its time."""
     await asyncio.sleep(fault.at_s)
-    logger.info('fault', fault=fault.model_dump(exclude_none=True))
+    logger.info('injecting fault', fault=fault.model_dump(exclude_none=True))
     match fault:
         case _ if fault.reclaim_zone is not None:
             await reclaim(session, plan, fault)
@@ -51,6 +51,6 @@
             )
 
 
-async def play_faults(session, plan):
-    """Play a round's whole schedule."""
-    await asyncio.gather(*(bring_about(session, plan, f) for f in plan.faults))
+async def inject_faults(session, plan):
+    """Inject all faults of a round at their times."""
+    await asyncio.gather(*(inject(session, plan, f) for f in plan.faults))
--- a/pearrun/bench/meter.py
+++ b/pearrun/bench/meter.py
@@ -1,4 +1,4 @@
-"""Metering a round: host time that costs, and the engines' counters."""
+"""Measurement of a round: cost of the hosts and counters of the engines."""
 
 import asyncio
 import collections
@@ -6,7 +6,7 @@
 
 import aiohttp
 
-POLL_S = 0.25
+POLL_INTERVAL_S = 0.25
 COUNTERS = (
     'prefill_tokens',
     'cached_tokens',
@@ -17,10 +17,10 @@
 
 
 class Meter:
-    """Polls the hosts while a round runs.
+    """Polls the hosts during a round.
 
-    A host costs as long as it answers.  Counters keep the last value
-    read from a host that has gone.
+    A host is charged for as long as it responds.  Of a host that no
+    longer responds, the last counters read are kept.
 
     :param session: an :class:`aiohttp.ClientSession`.
     :param plan: the :class:`Plan`.
@@ -29,15 +29,18 @@
     def __init__(self, session, plan):
         self.session = session
         self.plan = plan
-        self.first = {}
-        self.last = {}
+        self.first_counters = {}
+        self.last_counters = {}
         self.cost = 0.0
         self.host_s = collections.Counter()
         self.cost_over_time = []
         self.executions = collections.Counter()
 
     async def read_host(self, host, elapsed_s):
-        """Read one host's counters and charge the time it was up."""
+        """Read a host's counters and charge for a period.
+
+        :param elapsed_s: the time since the last poll.
+        """
         try:
             async with self.session.get(
                 f'{host.url}/v1/stats', timeout=TIMEOUT
@@ -46,11 +49,11 @@
         except (aiohttp.ClientError, OSError, ValueError):
             return
         counters = {name: body.get(name, 0) for name in COUNTERS}
-        self.first.setdefault(host.id, counters)
-        self.last[host.id] = counters
+        self.first_counters.setdefault(host.id, counters)
+        self.last_counters[host.id] = counters
         kind = 'reclaimable' if host.reclaimable else 'on-demand'
         self.host_s[kind] += elapsed_s
-        self.cost += self.plan.price_of(host) * elapsed_s / 3600
+        self.cost += self.plan.get_price(host) * elapsed_s / 3600
         for key, count in body.get('executions', {}).items():
             self.executions[host.id, key] = count
 
@@ -64,18 +67,18 @@
             )
             before = now
             self.cost_over_time.append((now - started, self.cost))
-            await asyncio.sleep(POLL_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
 
-    def counted(self, name):
-        """Return how much a counter of all engines grew."""
+    def sum_increases(self, name):
+        """Return the sum of a counter's increases on all hosts."""
         return sum(
-            last[name] - self.first[host_id][name]
-            for host_id, last in self.last.items()
+            last[name] - self.first_counters[host_id][name]
+            for host_id, last in self.last_counters.items()
         )
 
-    def doubled(self, keys):
-        """Return how many of these keys' calls ran more than once."""
+    def count_duplicates(self, keys):
+        """Return how many of the keys were executed more than once."""
         runs = collections.Counter()
-        for (_, scoped), count in self.executions.items():
-            runs[scoped.rpartition('/')[2]] += count
+        for (_, scoped_key), count in self.executions.items():
+            runs[scoped_key.rpartition('/')[2]] += count
         return sum(runs[key] > 1 for key in keys)
--- a/pearrun/bench/plan.py
+++ b/pearrun/bench/plan.py
@@ -1,4 +1,4 @@
-"""The bench file: fleet, prices, arrivals, mix of requests, faults."""
+"""The bench file: hosts, prices, arrivals, request kinds and faults."""
 
 import ipaddress
 import urllib.parse
@@ -17,18 +17,21 @@
 
 
 def check_loopback(url):
-    """Refuse a URL that is not on this machine.
+    """Reject a URL whose host is not a loopback address.
 
-    :raises ValueError: its host is not a loopback address.
+    :returns: the URL.
+    :raises ValueError: its host is not on this machine.
     """
     host = urllib.parse.urlsplit(url).hostname or ''
     if host != 'localhost' and not ipaddress.ip_address(host).is_loopback:
-        raise ValueError(f'{url} is not on 127.0.0.0/8 or [::1]')
+        raise ValueError(
+            f'{url} is not on a loopback address, 127.0.0.0/8 or [::1]'
+        )
     return url
 
 
 class HostPlan(_Strict):
-    """A host whose time is paid for: its zone and machine class."""
+    """A host whose running time has a cost."""
 
     id: str
     zone: str
@@ -40,7 +43,7 @@
 
 
 class Price(_Strict):
-    """What an hour of a machine class costs in a zone."""
+    """The hourly price of a machine class in a zone."""
 
     zone: str
     machine: str = 'standard'
@@ -48,12 +51,13 @@
     per_hour: float = pydantic.Field(ge=0)
 
 
-class Arrivals(_Strict):
-    """A show's audience: most of a minute's demand in its first seconds.
+class ArrivalPlan(_Strict):
+    """Number and distribution of a round's requests over time.
 
-    Of ``requests`` a round, ``burst_share`` arrive within ``burst_s``
-    seconds, crowded towards their beginning, the others evenly over
-    ``round_s``.
+    The share ``burst_share`` of the ``requests`` arrives in a burst
+    during the first ``burst_s`` seconds, most of them near its start,
+    as in the first seconds of a live show.  The others are distributed
+    evenly over ``round_s``.
     """
 
     requests: int = pydantic.Field(default=200, ge=1, le=MAX_REQUESTS)
@@ -62,11 +66,14 @@
     burst_share: float = pydantic.Field(default=0.9, ge=0, le=1)
 
 
-class Mix(_Strict):
-    """One kind of request and how much of the demand it is.
+class RequestKind(_Strict):
+    """A kind of request and its weight in the mix.
 
-    Prompts of one of the ``groups`` share their first
-    ``shared_words``; the other words are each request's own.
+    The prompts of each of the ``groups`` begin with the same
+    ``shared_words`` words; their other words are unique.
+
+    :param once: whether it calls a service whose calls are not
+        idempotent.
     """
 
     service: str
@@ -80,7 +87,18 @@
 
 
 class Fault(_Strict):
-    """Something that goes wrong ``at_s`` into a round; one is given."""
+    """A fault injected ``at_s`` seconds after the start of a round.
+
+    One of ``reclaim_zone``, ``log``, ``refuse_replacements`` and
+    ``link`` is given.
+
+    :param reclaim_zone: the zone whose hosts are reclaimed after
+        ``notice_ms``.
+    :param log: the faults of the log service.
+    :param refuse_replacements: whether the cloud refuses replacement
+        hosts.
+    :param link: URL of the link set to ``mode``.
+    """
 
     at_s: float = pydantic.Field(ge=0)
     reclaim_zone: str | None = None
@@ -92,15 +110,18 @@
 
 
 class Plan(_Strict):
-    """A whole bench file."""
+    """The contents of a bench file.
+
+    :param give_up_s: time limit of a request, retries included.
+    """
 
     daemons: list[str]
     log_url: str
     cloud_url: str | None = None
     hosts: list[HostPlan]
     prices: list[Price]
-    arrivals: Arrivals = Arrivals()
-    mix: list[Mix]
+    arrivals: ArrivalPlan = ArrivalPlan()
+    mix: list[RequestKind]
     faults: list[Fault] = []
     policies: list[RoutingKind] = [RoutingKind.AFFINITY]
     rounds: int = pydantic.Field(default=1, ge=1, le=20)
@@ -110,36 +131,39 @@
     @pydantic.field_validator('daemons')
     @classmethod
     def check_daemons(cls, urls):
-        """Refuse daemons that are not on this machine."""
+        """Reject daemons that are not on this machine."""
         return [check_loopback(url) for url in urls]
 
     @pydantic.field_validator('log_url', 'cloud_url')
     @classmethod
     def check_platform(cls, url):
-        """Refuse platform URLs that are not on this machine."""
+        """Reject platform URLs that are not on this machine."""
         return None if url is None else check_loopback(url)
 
     @pydantic.model_validator(mode='after')
     def check_prices(self):
-        """Refuse a host whose price is not given."""
+        """Reject a host without a price."""
         for host in self.hosts:
-            self.price_of(host)
+            self.get_price(host)
         return self
 
     @pydantic.model_validator(mode='after')
     def check_reclaims(self):
-        """Refuse several rounds on hosts that a reclaim takes away."""
+        """Reject a plan that has a reclaim and several rounds.
+
+        Reclaimed hosts are not available in later rounds.
+        """
         reclaims = [f for f in self.faults if f.reclaim_zone is not None]
         if reclaims and self.rounds * len(self.policies) > 1:
             raise ValueError(
-                'a plan that reclaims hosts has one policy and one round'
+                'a plan that reclaims hosts must have one policy and one round'
             )
         return self
 
-    def price_of(self, host):
+    def get_price(self, host):
         """Return a host's price per hour.
 
-        :raises ValueError: no price fits the host.
+        :raises ValueError: there is no price for its class and zone.
         """
         for price in self.prices:
             if (price.zone, price.machine, price.reclaimable) == (
@@ -148,14 +172,14 @@
                 host.reclaimable,
             ):
                 return price.per_hour
-        raise ValueError(f'no price fits host {host.id!r}')
+        raise ValueError(f'no price for host {host.id!r}')
 
 
 def load(path):
-    """Read and check a bench file.
+    """Read and validate a bench file.
 
     :param path: path of the YAML file.
     :returns: a :class:`Plan`.
-    :raises SettingsError: the file is unreadable or wrong.
+    :raises SettingsError: the file cannot be read or is invalid.
     """
     return settings_module.load_yaml(path, Plan)
--- a/pearrun/bench/plots.py
+++ b/pearrun/bench/plots.py
@@ -1,10 +1,10 @@
-"""Plotting rounds: time to first token and cost over time."""
+"""Plots of time to first token and cost over the time of a round."""
 
 from pearrun import exceptions
 
 
 def draw(rounds, path):
-    """Draw a PNG of latency and cost over time, a line per policy.
+    """Draw a PNG of latency and cost over time, one color per policy.
 
     :param rounds: a list of :class:`Round`.
     :param path: the file to write.
@@ -30,8 +30,8 @@
             if o.ttft_ms is not None
         ]
         top.scatter(*zip(*points, strict=True), s=6, color=color, label=policy)
-        for played in group:
-            times, costs = zip(*played.meter.cost_over_time, strict=True)
+        for one_round in group:
+            times, costs = zip(*one_round.meter.cost_over_time, strict=True)
             bottom.plot(times, costs, color=color, label=policy)
     top.set_ylabel('time to first token, ms')
     top.set_yscale('log')
--- a/pearrun/bench/report.py
+++ b/pearrun/bench/report.py
@@ -1,4 +1,4 @@
-"""Reporting rounds: percentiles against targets, cost, tokens."""
+"""Reports of rounds: latency percentiles and targets, cost, tokens."""
 
 import dataclasses
 
@@ -11,23 +11,28 @@
 
 
 @dataclasses.dataclass
-class Line:
-    """The outcomes of one service's requests from one customer."""
+class ReportLine:
+    """Figures of one customer's requests to one service.
+
+    :param counts: number of requests of each outcome, and numbers of
+        refusals and resumes.
+    :param within_target: number of requests that met all targets.
+    """
 
     service: str
     customer: str
     counts: dict
-    within: int
+    within_target: int
     ttft: HdrHistogram
     itl: HdrHistogram
     total: HdrHistogram
 
     def to_body(self, targets):
-        """Return the line JSON-ready, with percentiles and targets."""
+        """Return the line as a JSON body, with percentiles and targets."""
         body = {
             'service': self.service,
             'customer': self.customer,
-            'within_target': self.within,
+            'within_target': self.within_target,
             **self.counts,
         }
         for measure in MEASURES:
@@ -39,7 +44,7 @@
 
 @dataclasses.dataclass
 class Round:
-    """One round under one routing policy."""
+    """The results of one round under one routing policy."""
 
     policy: str
     number: int
@@ -49,9 +54,9 @@
 
 
 def meets_targets(outcome, targets):
-    """Say whether an answer met all its service's targets.
+    """Tell whether an answer met all targets of its service.
 
-    The time between tokens is judged by the mean of the answer's gaps.
+    The target between tokens applies to the mean over the answer.
     """
     if outcome.kind != OutcomeKind.WHOLE:
         return False
@@ -65,11 +70,11 @@
 
 
 def add_outcome(line, outcome, targets):
-    """Count one outcome in its line."""
+    """Add an outcome to the line of its service and customer."""
     line.counts[outcome.kind.value] += 1
     line.counts['refusals'] += outcome.refusals
     line.counts['resumes'] += outcome.resumes
-    line.within += meets_targets(outcome, targets)
+    line.within_target += meets_targets(outcome, targets)
     if outcome.ttft_ms is not None:
         metrics.record(line.ttft, outcome.ttft_ms)
     for gap in outcome.gaps_ms:
@@ -83,33 +88,35 @@
 
     :param outcomes: a list of :class:`Outcome`.
     :param tree: the :class:`TeamTree` with the services' targets.
-    :returns: a list of :class:`Line`.
+    :returns: a list of :class:`ReportLine`, sorted by both names.
     """
     lines = {}
     for outcome in outcomes:
-        mix = outcome.arrival.mix
-        name = (mix.service, mix.customer)
+        request_kind = outcome.arrival.request_kind
+        name = (request_kind.service, request_kind.customer)
         if name not in lines:
             counts = dict.fromkeys((k.value for k in OutcomeKind), 0)
             counts.update(refusals=0, resumes=0)
-            lines[name] = Line(
+            lines[name] = ReportLine(
                 *name, counts, 0, *(metrics.new_histogram() for _ in MEASURES)
             )
-        targets = tree.find_service(mix.service).targets
+        targets = tree.find_service(request_kind.service).targets
         add_outcome(lines[name], outcome, targets)
     return [lines[name] for name in sorted(lines)]
 
 
-def describe_policy(rounds, tree):
-    """Return the figures of one policy's rounds, JSON-ready."""
+def summarize_policy(rounds, tree):
+    """Return the figures of one policy's rounds as a JSON body."""
     outcomes = [o for r in rounds for o in r.outcomes]
     lines = build_lines(outcomes, tree)
-    within = sum(line.within for line in lines)
+    within_target = sum(line.within_target for line in lines)
     cost = sum(r.meter.cost for r in rounds)
-    read = sum(r.meter.counted('prefill_tokens') for r in rounds)
-    cached = sum(r.meter.counted('cached_tokens') for r in rounds)
-    again = sum(r.meter.counted('recomputed_tokens') for r in rounds)
-    keys = [o.arrival.key for o in outcomes if o.arrival.mix.once]
+    uncached = sum(r.meter.sum_increases('prefill_tokens') for r in rounds)
+    cached = sum(r.meter.sum_increases('cached_tokens') for r in rounds)
+    recomputed = sum(
+        r.meter.sum_increases('recomputed_tokens') for r in rounds
+    )
+    keys = [o.arrival.key for o in outcomes if o.arrival.request_kind.once]
     ttft = metrics.new_histogram()
     for line in lines:
         ttft.add(line.ttft)
@@ -118,18 +125,20 @@
         'whole': sum(line.counts['whole'] for line in lines),
         'lost': sum(line.counts['lost'] for line in lines),
         'wrong': sum(line.counts['wrong'] for line in lines),
-        'doubled': sum(r.meter.doubled(keys) for r in rounds),
-        'within_target': within,
+        'doubled': sum(r.meter.count_duplicates(keys) for r in rounds),
+        'within_target': within_target,
         'cost': round(cost, 6),
-        'cost_per_1000_within_target': round(1000 * cost / max(1, within), 4),
+        'cost_per_1000_within_target': round(
+            1000 * cost / max(1, within_target), 4
+        ),
         'host_seconds': {
             kind: round(sum(r.meter.host_s[kind] for r in rounds), 1)
             for kind in ('reclaimable', 'on-demand')
         },
-        'prompt_tokens_read': read,
+        'prompt_tokens_read': uncached,
         'prompt_tokens_cached': cached,
-        'prompt_read_share': round(read / max(1, read + cached), 4),
-        'tokens_recomputed': again,
+        'prompt_read_share': round(uncached / max(1, uncached + cached), 4),
+        'tokens_recomputed': recomputed,
         'ttft_p95_ms': ttft.get_value_at_percentile(95),
         'lines': [
             line.to_body(tree.find_service(line.service).targets)
@@ -148,17 +157,18 @@
 
 
 def build_report(rounds, tree):
-    """Return the whole report, JSON-ready.
+    """Return the report as a JSON body.
 
     :param rounds: a list of :class:`Round`.
-    :param tree: the :class:`TeamTree` in force.
-    :returns: figures per policy, and their ratios to the first one.
+    :param tree: the :class:`TeamTree` with the services' targets.
+    :returns: figures of each policy, and their ratios to those of the
+        first policy.
     """
     policies = {}
-    for played in rounds:
-        policies.setdefault(played.policy, []).append(played)
+    for one_round in rounds:
+        policies.setdefault(one_round.policy, []).append(one_round)
     figures = {
-        name: describe_policy(group, tree) for name, group in policies.items()
+        name: summarize_policy(group, tree) for name, group in policies.items()
     }
     first = next(iter(figures))
     ratios = {
@@ -173,7 +183,7 @@
 
 
 def format_report(report):
-    """Return the report as a readable table."""
+    """Return the report as a table in plain text."""
     rows = []
     for policy, figures in report['policies'].items():
         rows.append(
--- a/pearrun/bench/workload.py
+++ b/pearrun/bench/workload.py
@@ -1,4 +1,4 @@
-"""Workloads: a YAML file of requests, sent as one burst.
+"""Workloads: requests from a YAML file, sent as one burst.
 
 A workload file looks like::
 
@@ -9,10 +9,10 @@
         max_tokens: 40
         stream: true
         idempotency_key: renewal-17     # optional
-        repeat: 2                       # send this many times
+        repeat: 2                       # number of times it is sent
 
-Each answer is checked whole against what the engine stand-in must
-produce for the prompt, so a cut or crossed answer is caught.
+Each answer is compared with the one that the engine stand-in generates
+for the prompt, so that truncated and mixed-up answers are detected.
 """
 
 import asyncio
@@ -44,7 +44,7 @@
 
 
 class Workload(pydantic.BaseModel):
-    """A whole workload file."""
+    """The contents of a workload file."""
 
     model_config = pydantic.ConfigDict(extra='forbid')
 
@@ -53,7 +53,11 @@
 
 @dataclasses.dataclass
 class Outcome:
-    """What one request got."""
+    """The response to one request.
+
+    :param error: the body of an error response, or the error that
+        ended a stream.
+    """
 
     item: WorkloadItem
     status: int
@@ -63,22 +67,26 @@
 
 
 def load(path):
-    """Read and check a workload file.
+    """Read and validate a workload file.
 
-    :raises SettingsError: the file is unreadable or wrong.
+    :raises SettingsError: the file cannot be read or is invalid.
     """
     return settings_module.load_yaml(path, Workload)
 
 
-def expected_text(item):
-    """Return the whole answer a request must get."""
+def compute_expected_answer(item):
+    """Return the complete answer expected for a request."""
     if item.expect == 'service':
         return f'acknowledged {item.prompt}'
     return text.generate_answer(item.prompt, item.seed, item.max_tokens)
 
 
 async def read_events(reply):
-    """Collect the tokens of a server-sent event stream."""
+    """Read the tokens of a server-sent event stream.
+
+    :returns: the text, and the last event that has no token or
+        ``None``.
+    """
     pieces = []
     final = None
     async for raw in reply.content:
@@ -121,16 +129,20 @@
             answer = data['choices'][0]['text']
             error = None
     return Outcome(
-        item, reply.status, answer, answer == expected_text(item), error
+        item,
+        reply.status,
+        answer,
+        answer == compute_expected_answer(item),
+        error,
     )
 
 
 async def run_burst(workload, daemon_urls):
-    """Send every request of a workload at once, spread over daemons.
+    """Send all requests of a workload at once.
 
     :param workload: a :class:`Workload`.
-    :param daemon_urls: base URLs of daemons, used in turn as a
-        balancer would.
+    :param daemon_urls: base URLs of the daemons, used in turn as by a
+        load balancer.
     :returns: a list of :class:`Outcome`, in the workload's order.
     """
     urls = itertools.cycle(daemon_urls)
--- a/pearrun/standins/platformsite.py
+++ b/pearrun/standins/platformsite.py
@@ -163,13 +163,14 @@
         self.store.put('servers', runner.id, runner.make_entry())
 
     async def send_heartbeats(self):
-        """Rewrite the entries of running endpoints until cancelled.
+        """Send the heartbeats of all endpoints until cancelled.
 
-        An endpoint whose entry was removed sends no more heartbeats.
+        A heartbeat writes the endpoint's entry again.  Endpoints that
+        have ended or whose entries were removed send none.
         """
         while True:
             await asyncio.sleep(to_seconds(HEARTBEAT_INTERVAL_MS))
-            listed = self.store.topic('keyed.servers').newest
+            listed = self.store.get_topic('keyed.servers').newest
             for runner in list(self.runners.values()):
                 if runner.id in listed and runner.ended_ms is None:
                     self.publish_runner(runner)
--- a/pearrun/standins/platformstore.py
+++ b/pearrun/standins/platformstore.py
@@ -103,7 +103,7 @@
         """Start serving on ``IP:PORT``."""
         await self.server.listen(address)
 
-    def topic(self, name):
+    def get_topic(self, name):
         """Return a topic; create it if it does not exist."""
         return self.topics.setdefault(name, Topic())
 
@@ -116,11 +116,11 @@
         name = key.encode()
         data = b'' if value is None else json.dumps(value).encode()
         record = bytes([len(name)]) + name + data
-        self.topic(f'keyed.{topic}').append([record], True)
+        self.get_topic(f'keyed.{topic}').append([record], True)
 
     def delete_history(self, name):
         """Delete a topic's records, but not the newest value of each key."""
-        topic = self.topic(name)
+        topic = self.get_topic(name)
         topic.first = topic.end
         topic.records = []
 
@@ -145,7 +145,7 @@
                 await caller.reply(404, JSON, b'{}')
 
     async def _append(self, query, body, caller):
-        topic = self.topic(query['topic'])
+        topic = self.get_topic(query['topic'])
         if 'at' in query and int(query['at']) != topic.end:
             reply = json.dumps({'end': topic.end}).encode()
             await caller.reply(412, JSON, reply)
@@ -160,7 +160,7 @@
         await caller.reply(200, JSON, reply)
 
     async def _read(self, query, caller):
-        topic = self.topic(query['topic'])
+        topic = self.get_topic(query['topic'])
         start = int(query['from'])
         if start < topic.first:
             reply = json.dumps({'first': topic.first}).encode()
@@ -175,7 +175,7 @@
         await caller.reply(200, [], body)
 
     async def _newest(self, query, caller):
-        topic = self.topic(query['topic'])
+        topic = self.get_topic(query['topic'])
         after = query.get('after', '')
         keys = sorted(key for key in topic.newest if key > after)
         items = [
--- a/tests/callers.py
+++ b/tests/callers.py
@@ -1,4 +1,4 @@
-"""Callers of scripted scenarios, each in a thread of its own."""
+"""Callers in scripted scenarios, each with its own thread."""
 
 import json
 import threading
@@ -9,7 +9,12 @@
 
 
 class Call:
-    """One request of a scenario and what its caller got."""
+    """One request of a scenario and the response to it.
+
+    :param send: the :class:`steps.Send` that describes the request.
+    :param number: its number among the requests of that step.
+    :param url: base URL of the daemon.
+    """
 
     def __init__(self, send, number, url):
         self.send = send
@@ -34,14 +39,18 @@
         return text.generate_answer(self.prompt, 0, self.send.tokens)
 
     def start(self):
-        """Send it; open calls go on in a thread of their own."""
+        """Send the request in a thread.
+
+        Returns at once, except for asynchronous requests: these have
+        been accepted or refused when it returns.
+        """
         self.thread = threading.Thread(target=self.run, daemon=True)
         self.thread.start()
         if self.send.how == 'async':
             self.thread.join(30)
 
     def follow(self, url):
-        """Open the answer's stream by id at a host, and read on."""
+        """Read the answer from its start at a host, by the request's id."""
         target = f'{url}/v1/requests/{self.id}?stream=true'
         self.pieces = []
 
--- a/tests/crashes.py
+++ b/tests/crashes.py
@@ -81,7 +81,7 @@
 
 def remove_crashed(site):
     """Remove the entries of crashed endpoints."""
-    listed = site.store.topic('keyed.servers').newest
+    listed = site.store.get_topic('keyed.servers').newest
     for name, runner in site.runners.items():
         if runner.crashed_by and name in listed:
             site.store.put('servers', name, None)
--- a/tests/soak/play.py
+++ b/tests/soak/play.py
@@ -167,12 +167,14 @@
 
 def is_up(site):
     """Say whether every host has announced itself."""
-    return len(site.store.topic('keyed.hosts').newest) == len(site.host_names)
+    return len(site.store.get_topic('keyed.hosts').newest) == len(
+        site.host_names
+    )
 
 
 async def is_lease_renewed(site):
     """Say whether a host goes on writing the duties' lease."""
-    log = site.store.topic('duties')
+    log = site.store.get_topic('duties')
     end = log.end
     await asyncio.sleep(RENEWED_S)
     return log.end > end
--- a/tests/test_bench.py
+++ b/tests/test_bench.py
@@ -1,4 +1,4 @@
-"""The bench tool: plans checked, demand drawn, rounds played, reported."""
+"""Tests of ``pearrun bench``: plans, random arrivals, rounds and reports."""
 
 import json
 import os
@@ -20,8 +20,8 @@
 from tests.cluster import Zone
 
 
-def plan_tree(**changes):
-    """Return a small bench file's tree."""
+def make_plan_tree(**changes):
+    """Return the contents of a small bench file."""
     tree = {
         'daemons': ['http://127.0.0.1:1'],
         'log_url': 'http://127.0.0.1:2',
@@ -47,7 +47,7 @@
     return {**tree, **changes}
 
 
-def parse(tree):
+def parse_plan(tree):
     return settings_module.parse_yaml(yaml.safe_dump(tree), plan_module.Plan)
 
 
@@ -61,14 +61,15 @@
         {'rounds': 2, 'faults': [{'at_s': 0, 'reclaim_zone': 'z'}]},
     ],
 )
-def test_plan_that_is_unbounded_or_off_this_machine_is_refused(changes):
+def test_invalid_plan_is_rejected(changes):
+    """Plans must not reach other machines or exceed the limits."""
     with pytest.raises(exceptions.SettingsValueError):
-        parse(plan_tree(**changes))
+        parse_plan(make_plan_tree(**changes))
 
 
 @given(number=st.integers(0, 5), seed=st.integers(0, 100))
-def test_round_is_the_same_for_every_policy(number, seed):
-    plan = parse(plan_tree(seed=seed))
+def test_rounds_with_the_same_number_differ_only_in_keys(number, seed):
+    plan = parse_plan(make_plan_tree(seed=seed))
     first = arrivals.draw_round(plan, number, 'a')
     second = arrivals.draw_round(plan, number, 'b')
     assert [(a.at_s, a.prompt) for a in first] == [
@@ -78,18 +79,22 @@
     assert all(0 <= a.at_s <= plan.arrivals.round_s for a in first)
 
 
-def outcome(**changes):
-    plan = parse(plan_tree())
+def make_outcome(**changes):
+    plan = parse_plan(make_plan_tree())
     [arrival] = arrivals.draw_round(plan, 0, 'x')[:1]
-    made = caller.Outcome(arrival, kind=caller.OutcomeKind.WHOLE)
-    made.ttft_ms, made.gaps_ms, made.total_ms = 100.0, [10.0, 20.0], 200.0
+    outcome = caller.Outcome(arrival, kind=caller.OutcomeKind.WHOLE)
+    outcome.ttft_ms, outcome.gaps_ms, outcome.total_ms = (
+        100.0,
+        [10.0, 20.0],
+        200.0,
+    )
     for name, value in changes.items():
-        setattr(made, name, value)
-    return made
+        setattr(outcome, name, value)
+    return outcome
 
 
 @pytest.mark.parametrize(
-    ('changes', 'within'),
+    ('changes', 'meets_targets'),
     [
         ({}, True),
         ({'ttft_ms': 461.0}, False),
@@ -98,12 +103,14 @@
         ({'kind': caller.OutcomeKind.WRONG}, False),
     ],
 )
-def test_only_whole_answers_in_time_count_as_within_target(changes, within):
+def test_only_correct_answers_in_time_meet_targets(changes, meets_targets):
     targets = settings_module.Targets()
-    assert report.meets_targets(outcome(**changes), targets) is within
+    assert (
+        report.meets_targets(make_outcome(**changes), targets) is meets_targets
+    )
 
 
-def test_bench_plays_policies_and_writes_report_and_plot(tmp_path):
+def test_bench_runs_policies_and_writes_report_and_plot(tmp_path):
     cluster = Cluster(tmp_path, {'z': Zone(engines=2)}, ['--decode_ms=2'])
     try:
         cluster.begin()
@@ -111,7 +118,7 @@
             {'id': n, 'zone': 'z', 'url': cluster.url(n)}
             for n in [*cluster.names('engine'), *cluster.names('service')]
         ]
-        tree = plan_tree(
+        tree = make_plan_tree(
             daemons=[cluster.url('z-1')],
             log_url=cluster.url('log'),
             hosts=hosts,
@@ -144,7 +151,7 @@
     assert 'ratios_to_affinity' in done.stdout
 
 
-def test_bench_without_matplotlib_gives_a_clear_error(monkeypatch):
+def test_plot_without_matplotlib_raises_error(monkeypatch):
     monkeypatch.setitem(sys.modules, 'matplotlib', None)
     with pytest.raises(exceptions.PearrunError, match='matplotlib'):
         plots.draw([], 'nowhere.png')
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -26,7 +26,7 @@
 
 def is_saved(site):
     """Say whether a quarantine is on the store."""
-    return bool(site.store.topic('keyed.quarantine').newest)
+    return bool(site.store.get_topic('keyed.quarantine').newest)
 
 
 async def check_stopped(site, path, delay_s=0):
