--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -161,7 +161,7 @@
             return
         except (aiohttp.ClientError, OSError) as exc:
             final_event = repr(exc)
-        expected = text.answer_text(prompt, 0, self.tokens)
+        expected = text.generate_answer(prompt, 0, self.tokens)
         if ''.join(tokens) == expected and final_event['state'] == 'done':
             self.complete += 1
         else:
--- a/benchmarks/reclaim.py
+++ b/benchmarks/reclaim.py
@@ -77,7 +77,7 @@
     """Return the complete answer to a request."""
     if body['model'] == 'licence-records':
         return f'acknowledged {body["prompt"]}'
-    return text.answer_text(body['prompt'], 0, body['max_tokens'])
+    return text.generate_answer(body['prompt'], 0, body['max_tokens'])
 
 
 class Caller:
--- a/tests/crashes.py
+++ b/tests/crashes.py
@@ -35,7 +35,7 @@
     async with run_site(make_config(), runners, hosts) as site:
         for runner in site.runners.values():
             runner.faults.crash_on = CRASHING
-        heartbeats = asyncio.create_task(site.keep_beating())
+        heartbeats = asyncio.create_task(site.send_heartbeats())
         await wait_until_connected(site)
         try:
             yield site
@@ -88,7 +88,7 @@
 
 def remove_crashed(site):
     """Remove crashed endpoints from the endpoint list."""
-    listed = site.store.topic('keyed.servers').newest
+    listed = site.store.get_topic('keyed.servers').newest
     for name, runner in site.runners.items():
         if runner.crashed_by and name in listed:
             site.store.put('servers', name, None)
--- a/tests/soak/play.py
+++ b/tests/soak/play.py
@@ -93,7 +93,7 @@
                 site.store.faults.lose_answers += count
             case faults.CompactStore():
                 for name in list(site.store.topics):
-                    site.store.forget_history(name)
+                    site.store.delete_history(name)
             case faults.DisruptEndpoint(endpoint, kind, duration_ms):
                 replica = site.replicas[endpoint]
                 site.set_endpoint_fault(replica, kind, True)
@@ -170,12 +170,14 @@
 
 def have_hosts_registered(site):
     """Return whether every host has written its entry to the store."""
-    return len(site.store.topic('keyed.hosts').newest) == len(site.host_names)
+    return len(site.store.get_topic('keyed.hosts').newest) == len(
+        site.host_names
+    )
 
 
 async def is_lease_renewed(site):
     """Return whether a host renews the lease on the duties."""
-    log = site.store.topic('duties')
+    log = site.store.get_topic('duties')
     end = log.end
     await asyncio.sleep(LEASE_RENEWAL_S)
     return log.end > end
--- a/tests/soak/site.py
+++ b/tests/soak/site.py
@@ -97,7 +97,7 @@
         self.change_routes()
         for replica in self.replicas.values():
             await self.start_endpoint(replica)
-        self.spawn(self.keep_beating())
+        self.spawn(self.send_heartbeats())
         for number, name in enumerate(self.host_names, 1):
             await self.start_host(number, name)
 
@@ -153,13 +153,13 @@
             await self.add_link(f'endpoint-{replica.name}', runner.address)
             replica.link = self.links[f'endpoint-{replica.name}']
         replica.runner = self.runners[name] = runner
-        self.list_runner(runner)
+        self.publish_runner(runner)
 
-    def list_runner(self, runner):
+    def publish_runner(self, runner):
         """Write an endpoint's entry, with the address of its link."""
         replica = self.replicas[runner.id.rpartition('-')[0]]
         port = replica.link.config.listen_port
-        entry = {**runner.entry(), 'addr': f'127.0.0.1:{port}'}
+        entry = {**runner.make_entry(), 'addr': f'127.0.0.1:{port}'}
         self.store.put('servers', runner.id, entry)
 
     async def replace_endpoint(self, replica, drained, same_address):
@@ -171,7 +171,7 @@
         runner = replica.runner
         if drained:
             runner.state = 'draining'
-            self.list_runner(runner)
+            self.publish_runner(runner)
             self.drain_start_ms[runner.id] = self.clock.now()
             if not same_address:
                 await self.start_endpoint(replica)
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -27,7 +27,7 @@
 
 def is_quarantine_stored(site):
     """Return whether the store has a quarantine."""
-    return bool(site.store.topic('keyed.quarantine').newest)
+    return bool(site.store.get_topic('keyed.quarantine').newest)
 
 
 async def check_quarantined(site, path, delay_s=0):
@@ -56,7 +56,7 @@
     async def main():
         async with run_crashing_site() as site:
             for runner in site.runners.values():
-                runner.faults.crash_after = 2
+                runner.faults.crash_after_events = 2
             await check_quarantined(site, '/short/x')
 
     asyncio.run(main())
@@ -101,7 +101,7 @@
     async def scenario(site, hosts):
         for runner in site.runners.values():
             runner.faults.crash_on = CRASHING
-        heartbeats = asyncio.create_task(site.keep_beating())
+        heartbeats = asyncio.create_task(site.send_heartbeats())
         await send_repeatedly(site, '/once/x', SENDS)
         heartbeats.cancel()
         assert count_crashed(site, '/once/x') <= 4
--- a/tests/test_end_to_end.py
+++ b/tests/test_end_to_end.py
@@ -43,7 +43,7 @@
 def test_answer_is_complete(cluster):
     status, _, body = complete(cluster, 'fault log site one', user=None)
     assert status == 200
-    assert body['choices'][0]['text'] == text.answer_text(
+    assert body['choices'][0]['text'] == text.generate_answer(
         'fault log site one', 0, 12
     )
 
@@ -64,7 +64,7 @@
     ]
     pieces = [e['choices'][0]['text'] for e in events if 'choices' in e]
     assert [e['index'] for e in events if 'choices' in e] == list(range(20))
-    assert ''.join(pieces) == text.answer_text('driver file 7', 0, 20)
+    assert ''.join(pieces) == text.generate_answer('driver file 7', 0, 20)
     assert events[-1]['state'] == 'done'
 
 
@@ -95,7 +95,7 @@
         f'{get_daemon_url(cluster)}/v1/requests/{body["id"]}'
     )
     assert status['state'] == 'done'
-    assert status['text'] == text.answer_text('status check', 0, 12)
+    assert status['text'] == text.generate_answer('status check', 0, 12)
 
 
 def test_non_idempotent_without_key_gets_code_1203(cluster):
@@ -172,7 +172,7 @@
         status, headers, body = complete(cluster, 'during outage')
     assert status == 200
     assert headers['X-Pearrun-Durable'] == 'false'
-    assert body['choices'][0]['text'] == text.answer_text(
+    assert body['choices'][0]['text'] == text.generate_answer(
         'during outage', 0, 12
     )
 
@@ -196,7 +196,7 @@
     _, _, status = call_json(
         f'{get_daemon_url(cluster, 2)}/v1/requests/{body["id"]}'
     )
-    assert status['text'] == text.answer_text('asked at one host', 0, 12)
+    assert status['text'] == text.generate_answer('asked at one host', 0, 12)
 
 
 def test_stream_resumes_at_token_through_other_host(cluster):
@@ -209,7 +209,7 @@
         if line.startswith('data: {')
     ]
     tokens = [e['token'] for e in events if 'choices' in e]
-    assert tokens == text.answer_tokens('to be resumed', 0, 12, start=5)
+    assert tokens == text.generate_tokens('to be resumed', 0, 12, start=5)
 
 
 def test_invalid_resume_index_gets_code_1200(cluster):
--- a/tests/test_topology.py
+++ b/tests/test_topology.py
@@ -188,7 +188,8 @@
 def count_reported(site):
     """Return the calls reported for anna, each window counted once."""
     return sum(
-        counts.get('anna', 0) for counts in dict(site.api.usage()).values()
+        counts.get('anna', 0)
+        for counts in dict(site.api.list_usage_reports()).values()
     )
 
 
@@ -292,7 +293,7 @@
                 connection.abort()
             runner = site.runners['p1']
             runner.state = 'draining'
-            site.list_runner(runner)
+            site.publish_runner(runner)
             drain_started_ms = reader.clock.now()
             for daemon in hosts:
                 if daemon is not reader:
