--- a/pearrun/__init__.py
+++ b/pearrun/__init__.py
@@ -22,8 +22,8 @@
     'load_settings',
 ]
 
-# Imported on first use: the settings import pydantic, which processes on
-# the users' platform do not need and which would cost them memory.
+# Names of ``pearrun.api.settings``, which is imported on first use: it needs
+# pydantic, which entry hosts do not use and which would cost them memory.
 LAZY_IMPORTS = {
     'Settings': 'Settings',
     'TeamTree': 'TeamTree',
--- a/pearrun/backoff.py
+++ b/pearrun/backoff.py
@@ -14,8 +14,9 @@
     The jitter keeps requests that failed together from being retried
     together.
 
-    :param base_ms: longest first delay.
-    :param cap_ms: longest delay.
+    :param base_ms: upper bound of the first delay; it doubles with every
+        further attempt.
+    :param cap_ms: upper bound of all delays.
     :param attempts: attempts made so far.
     """
 
--- a/pearrun/burn.py
+++ b/pearrun/burn.py
@@ -1,7 +1,7 @@
 """Burn rate: how fast each service consumes its error budget.
 
 For each service and each latency target (time to first token, time
-between tokens, time to the complete answer) the report gives the share of
+between tokens, time to the complete response) the report gives the share of
 requests over the target and the burn rate: that share divided by the error
 budget ``1 - objective``.  A burn rate above 1 consumes the budget faster
 than the objective allows.
@@ -18,9 +18,11 @@
 class BurnLine:
     """One line of the report: a service and one of its targets.
 
-    :param measure: the latency that the target is set for.
-    :param count: requests measured.
-    :param over: requests above the target.
+    :param measure: the latency that the target is set for: ``ttft``,
+        ``itl`` or ``total``.
+    :param count: number of recorded latencies.
+    :param over: how many of them are above the target.
+    :param p95_ms: 95th percentile of the latency.
     """
 
     service: str
@@ -44,6 +46,8 @@
 def build_report(bodies, tree):
     """Build the burn report from daemons' ``/v1/metrics`` bodies.
 
+    Services that are not in the team tree are omitted.
+
     :param bodies: a list of metrics bodies, one per daemon.
     :param tree: the :class:`TeamTree` with each service's targets.
     :returns: a list of :class:`BurnLine`.
@@ -80,7 +84,10 @@
 
 
 def format_report(lines):
-    """Return the burn report as a text table."""
+    """Return the burn report as a text table.
+
+    :param lines: a list of :class:`BurnLine`.
+    """
     header = (
         f'{"service":<18} {"measure":<6} {"target":>7} {"count":>6} '
         f'{"over":>5} {"p95":>7} {"burn":>6}'
--- a/pearrun/cli.py
+++ b/pearrun/cli.py
@@ -5,16 +5,18 @@
     pearrun config apply FILE [--team=NAME]   publish the team tree
     pearrun config show                       print the current tree
     pearrun status                            each daemon's state
-    pearrun drain ENDPOINT                    send it no new work
-    pearrun burn                              report of error budget burn
-    pearrun workload FILE                     send a burst, check answers
+    pearrun drain ENDPOINT                    stop sending new work to it
+    pearrun burn                              burn rates of error budgets
+    pearrun workload FILE                     send a burst of requests, check
+                                              the responses
     pearrun bench FILE [--out=JSON] [--plot=PNG]   run a load experiment
-    pearrun wait URL...                       wait until /healthz answers 200
+    pearrun wait URL...                       wait until /healthz returns 200
     pearrun explain REQUEST_ID [LOG...]       a request's time line, from the
                                               logs of platform hosts; - for
                                               stdin
-    pearrun losses [LOG...] [--span_s=2]      which calls were lost, when and
-                                              why; --span_s: seconds per row
+    pearrun losses [LOG...] [--span_s=2]      results of calls over time and
+                                              by route; --span_s: seconds per
+                                              row
     pearrun help                              print this help
 """
 
@@ -138,7 +140,7 @@
 
 
 async def run_workload(path):
-    """Send a burst of requests; print the answers and the burn report."""
+    """Send a burst of requests; print the responses and the burn report."""
     load = workload.load(path)
     total = sum(item.repeat for item in load.requests)
     print(f'sending {total} requests to {len(FLAGS.daemons)} daemons ...')
@@ -171,9 +173,10 @@
 
 
 async def wait_healthy(urls, timeout_s=30.0):
-    """Wait until ``/healthz`` of every URL answers 200.
+    """Wait until ``/healthz`` of every URL returns 200.
 
-    :raises PearrunError: one did not within ``timeout_s``.
+    :param urls: base URLs.
+    :raises PearrunError: a URL did not return 200 within ``timeout_s``.
     """
     loop = asyncio.get_running_loop()
     deadline = loop.time() + timeout_s
@@ -225,7 +228,7 @@
 
 
 async def run_losses(paths):
-    """Print which calls were lost, when and why."""
+    """Print tables of the results of calls, by time and by route."""
     lines = losses.render_losses(read_logs(paths), FLAGS.span_s)
     print('\n'.join(lines))
 
@@ -236,7 +239,11 @@
 
 
 def make_command(args):
-    """Return the coroutine of the command named by the arguments."""
+    """Return the coroutine of the command named by the arguments.
+
+    :param args: command-line arguments without program name and flags.
+    :raises UsageError: they name no command.
+    """
     match args:
         case ['help']:
             return show_help()
--- a/pearrun/clock.py
+++ b/pearrun/clock.py
@@ -46,7 +46,7 @@
 
 
 def to_seconds(value: Millis) -> float:
-    """Convert milliseconds to seconds, as library calls take them.
+    """Convert milliseconds to seconds, the unit of library calls.
 
     :param value: a duration in milliseconds.
     :returns: the same duration in seconds.
--- a/pearrun/exceptions.py
+++ b/pearrun/exceptions.py
@@ -1,4 +1,4 @@
-"""All errors that pearrun raises, each with a numeric code.
+"""Errors that callers and operators see, each with a numeric code.
 
 The codes are listed in ``docs/errors.md``; update both together.
 """
@@ -28,7 +28,7 @@
         """Return the error as a JSON-serializable body.
 
         :returns: ``{"error": {"code": int, "type": str, "message": str,
-            "not_run": bool, "retry_after_s": int or None}}``
+            "not_run": bool, "retry_after_s": number or None}}``
         """
         return {
             'error': {
@@ -49,7 +49,7 @@
 
 
 class SettingsSyntaxError(SettingsError):
-    """A settings file is not valid YAML."""
+    """A settings file cannot be read or parsed."""
 
     code = 1101
 
@@ -131,7 +131,7 @@
 
 
 class RateLimitedError(CapacityError):
-    """The platform's log service refused an append: rate limit exceeded."""
+    """A call exceeded the rate limit of the platform's log service."""
 
     code = 1403
     http_status = 429
@@ -145,7 +145,7 @@
 
 
 class ExpiredOffsetError(PearrunError):
-    """An offset is older than the log service's retention window.
+    """The record at an offset has been deleted after its retention time.
 
     :param first_offset: the oldest offset that is retained.
     """
@@ -165,7 +165,7 @@
 
 
 class OverloadedError(CapacityError):
-    """Every endpoint of the service is at its admission limit."""
+    """All endpoints of the service, or all connections, are in use."""
 
     code = 1407
     http_status = 429
@@ -290,7 +290,7 @@
 
 
 class StoreUnavailableError(StoreError):
-    """The store did not respond, or reported that nothing was done."""
+    """The store did not respond, or responded with an error status."""
 
     code = 1801
 
@@ -298,7 +298,7 @@
 class StoreConflictError(StoreError):
     """A conditional append failed: the log ends at another offset.
 
-    :param end: the offset at which the partition ends, if known.
+    :param end: the offset at which the log ends, or ``None`` if unknown.
     """
 
     code = 1802
@@ -350,7 +350,7 @@
 
 
 class StaleOrderError(PearrunError):
-    """An order has an older fencing token than one already seen."""
+    """An order's fencing token is older than one already received."""
 
     code = 1601
     http_status = 409
--- a/pearrun/explain.py
+++ b/pearrun/explain.py
@@ -1,8 +1,8 @@
 """Time line of one request, from the hosts' structured logs.
 
 Reads the logs that entry hosts write to standard output.  The time line
-has the request's own lines, the lines about the endpoints that it was sent
-to, and other state changes of the host around that time.
+consists of the request's own lines, the lines about the endpoints that it
+was sent to, and other state changes of the host around that time.
 """
 
 import dataclasses
@@ -10,11 +10,12 @@
 
 from pearrun import exceptions
 
-# Seconds before a request in which lines may explain it: the longest time
-# for which an endpoint is avoided, or information about it is used.
+# Lines up to this many seconds before a request may explain its result: this
+# is the longest time for which an endpoint is avoided, or for which
+# information about it is used.
 BEFORE_S = 5.0
-# Seconds after a request in which its cause may still be logged: heartbeats
-# time out and peer links are closed with a delay.
+# The cause of a request's result may be logged up to this many seconds after
+# it: heartbeats time out, and peer links are closed, with a delay.
 AFTER_S = 3.0
 # State changes of a host that affect all of its requests.
 HOST_EVENTS = frozenset(
@@ -30,7 +31,7 @@
         'peer link up',
     )
 )
-# Fields that every line has and that are not shown.
+# Fields that any line may have and that are not shown.
 COMMON_FIELDS = ('at', 'level', 'event', 'process', 'zone', 'dropped_lines')
 
 
@@ -39,6 +40,9 @@
     """One line of a host's log.
 
     :param at: Unix time in seconds, by the host's clock.
+    :param process: name of the host.
+    :param event: the line's message.
+    :param fields: all fields of the line, including those above.
     """
 
     at: float
@@ -158,7 +162,10 @@
 
 
 def describe_attempts(result, started_s):
-    """Return the attempts of a request as ``(time, text)`` pairs."""
+    """Return the attempts of a request as ``(time, text)`` pairs.
+
+    :param started_s: when the request arrived, in Unix seconds.
+    """
     return [
         (
             started_s + after_ms / 1000,
--- a/pearrun/fingerprints.py
+++ b/pearrun/fingerprints.py
@@ -6,8 +6,8 @@
 
 # Hexadecimal digits to which the digest is truncated.
 FINGERPRINT_DIGITS = 24
-# Size of the length prefix of each part.  With it, parts that are divided
-# differently give different fingerprints.
+# Size of the length prefix of each part.  Without the prefix, moving bytes
+# from one part to the next would not change the fingerprint.
 LENGTH_PREFIX_BYTES = 8
 
 
--- a/pearrun/http1/client.py
+++ b/pearrun/http1/client.py
@@ -19,8 +19,8 @@
 from pearrun.http1.messages import Response
 from pearrun.http1.messages import ResponseHead
 
-# Buffered bytes beyond which reading pauses.  A stream's event has a few
-# hundred bytes, so this holds seconds of a stream.
+# Buffered bytes beyond which reading pauses.  An event of a stream has a few
+# hundred bytes, so this is enough for seconds of a stream.
 READ_BUFFER_BYTES = 256 * 1024
 # Largest response head that is accepted from an endpoint or the platform.
 MAX_HEAD_BYTES = 64 * 1024
@@ -52,7 +52,7 @@
     def data_received(self, data):
         super().data_received(data)
         if not self.in_use:
-            # No request is in progress, so these bytes are unexpected.
+            # No request is in progress, so no response is expected.
             self.abort()
 
     def eof_received(self):
@@ -90,7 +90,7 @@
         """Read a response's status and headers.
 
         :returns: a :class:`ResponseHead`.
-        :raises ConnectionBrokenError: the connection ended before it.
+        :raises ConnectionBrokenError: the connection ended early.
         """
         while True:
             event = await self._next_event()
@@ -107,7 +107,7 @@
     async def read_chunk(self):
         """Read the next part of a response's body.
 
-        :returns: bytes; ``None`` at the end of a complete body.
+        :returns: bytes; ``None`` once the body is complete.
         :raises ConnectionBrokenError: the body ended early.
         """
         event = await self._next_event()
@@ -121,9 +121,10 @@
     async def read_body(self, limit):
         """Read the rest of a body.
 
-        :param limit: most bytes to read.
-        :returns: ``(data, complete)``; not complete if the body exceeds
-            the limit.
+        :param limit: maximum number of bytes to read.
+        :returns: ``(data, complete)``; ``complete`` is false if the body
+            exceeds the limit.
+        :raises ConnectionBrokenError: the body ended early.
         """
         parts = []
         size = 0
@@ -138,9 +139,12 @@
     async def fetch(self, method, target, headers, body, limit):
         """Send a request and read its complete response.
 
-        :param limit: most bytes of the body to read.
+        :param limit: maximum number of bytes of the body.
         :returns: a :class:`Response`.
-        :raises ConnectionBrokenError: the response is not complete.
+        :raises EndpointUnreachableError: the connection was closed
+            before anything was written.
+        :raises ConnectionBrokenError: the response is incomplete or its
+            body exceeds the limit.
         """
         self.send(method, target, headers, body)
         head = await self.read_head()
@@ -261,7 +265,9 @@
     :param connect_timeout_ms: milliseconds allowed for connecting.
     :param user_timeout_ms: how long sent bytes may stay unacknowledged.
     :returns: a :class:`ClientConnection`.
-    :raises EndpointUnreachableError: the connection failed.
+    :raises EndpointSilentError: connecting timed out.
+    :raises EndpointDownError: the connection was refused.
+    :raises EndpointUnreachableError: connecting failed otherwise.
     """
     host, _, port = address.rpartition(':')
     loop = asyncio.get_running_loop()
--- a/pearrun/http1/limits.py
+++ b/pearrun/http1/limits.py
@@ -17,6 +17,7 @@
     """A request is rejected before it reaches the handler.
 
     :param status: the HTTP status of the response.
+    :param reason: a short text for the log.
     """
 
     def __init__(self, status, reason):
@@ -34,7 +35,7 @@
 def check_size(head, limits):
     """Reject request heads that are too large.
 
-    h11 limits only heads that arrive in several parts.
+    h11 checks its limit only on heads that arrive in several parts.
 
     :raises RejectedError: the head is too large.
     """
--- a/pearrun/http1/messages.py
+++ b/pearrun/http1/messages.py
@@ -24,6 +24,7 @@
     """A complete request.
 
     :param headers: pairs of bytes, in their original order and case.
+    :param has_body: whether the request has a body, which may be empty.
     :param received_ms: monotonic time at which the head was read.
     """
 
@@ -84,7 +85,7 @@
 def drop_hop_by_hop(headers, extra=frozenset()):
     """Return the end-to-end headers.
 
-    Headers listed in ``Connection`` are dropped too.
+    Hop-by-hop headers and those listed in ``Connection`` are dropped.
 
     :param headers: pairs of bytes.
     :param extra: further names to drop, in lower case.
--- a/pearrun/http1/pool.py
+++ b/pearrun/http1/pool.py
@@ -10,7 +10,7 @@
 class PoolSettings:
     """Limits of the connections to one address.
 
-    :param max_connections: most connections open at once.
+    :param max_connections: maximum number of open connections.
     :param connect_timeout_ms: milliseconds allowed for a new connection.
     :param user_timeout_ms: how long sent bytes may stay unacknowledged.
     """
@@ -21,7 +21,11 @@
 
 
 class Pool:
-    """Connections to one address, reused last in, first out."""
+    """Keep-alive connections to one address; reuses the latest idle one.
+
+    :param address: ``IP:PORT``.
+    :param settings: the :class:`PoolSettings`.
+    """
 
     def __init__(self, address, settings):
         self.address = address
@@ -61,13 +65,14 @@
     ):
         """Send a request on a connection of the pool.
 
-        :param limit: most bytes of the body to read.
+        :param limit: maximum number of bytes of the body.
         :param check: called once connected, before sending; it raises if
             the request must no longer be sent.
         :returns: the complete :class:`Response`.
         :raises EndpointUnreachableError: no connection could be opened.
         :raises OverloadedError: all connections are in use.
-        :raises ConnectionBrokenError: the response is not complete.
+        :raises ConnectionBrokenError: the response is incomplete or its
+            body exceeds the limit.
         """
         connection = await self.acquire()
         self.in_flight.add(connection)
--- a/pearrun/http1/server.py
+++ b/pearrun/http1/server.py
@@ -23,8 +23,8 @@
 
 # Buffered bytes of a connection beyond which reading pauses.
 READ_BUFFER_BYTES = 64 * 1024
-# After a rejection the rest of the request is read and discarded for this
-# long: closing a socket with unread bytes resets the connection, and the
+# After a rejection the rest of the request is read and discarded for up to
+# this long: closing a socket with unread bytes resets the connection, and the
 # caller might not receive the response.
 LINGER_MS = 1000
 # A connection whose caller acknowledges nothing for this long is closed.
@@ -110,7 +110,7 @@
         self.finish()
 
     def abort(self):
-        """Close at once, so that a started response is seen as incomplete."""
+        """Close at once; the caller sees a started response as incomplete."""
         self.transport.abort()
 
     # the connection's task
@@ -154,7 +154,7 @@
         """Read a complete request.
 
         :returns: a :class:`Request`; ``None`` if the caller sent none.
-        :raises RejectedError: it violates the protocol or a limit.
+        :raises RejectedError: the request violates the protocol or a limit.
         """
         head = await self._read_head(limits)
         if head is None:
@@ -252,7 +252,7 @@
     """Listens on one address and serves its connections.
 
     :param handle: called with a :class:`Request` and the
-        :class:`ServerConnection` to answer on.
+        :class:`ServerConnection` to respond on.
     :param limits: returns the current :class:`ServerLimits`.
     """
 
@@ -276,7 +276,7 @@
 
     @property
     def active_requests(self):
-        """How many requests are being handled."""
+        """The number of requests that are being handled."""
         return sum(connection.serving for connection in self.connections)
 
     def close(self):
--- a/pearrun/http1/sockets.py
+++ b/pearrun/http1/sockets.py
@@ -15,6 +15,8 @@
 def detect_dead_peer(sock, user_timeout_ms):
     """Make the kernel close a connection whose peer stops responding.
 
+    Also disables Nagle's algorithm, so that small writes are sent at once.
+
     :param sock: the connection's socket.
     :param user_timeout_ms: how long sent bytes may stay unacknowledged.
     """
--- a/pearrun/logs.py
+++ b/pearrun/logs.py
@@ -1,7 +1,8 @@
 """Structured logging through loguru.
 
-Every line has ``zone`` and, if known, ``request_id``, ``customer`` and
-``service``.  ``--log_format=json`` writes one JSON object per line.
+Every line has ``process``, ``zone`` and, if known, ``request_id``,
+``customer`` and ``service``.  ``--log_format=json`` writes one JSON object
+per line.
 """
 
 import json
@@ -21,7 +22,7 @@
     """Write this process's log to standard error.
 
     :param process: a short name of the process, such as ``pearrund``.
-    :param zone: the failure domain this process belongs to.
+    :param zone: the failure domain that this process belongs to.
     :param log_format: ``text`` or ``json``.
     :param level: the lowest level that is written.
     :returns: the bound loguru logger.
@@ -35,13 +36,13 @@
     return logger
 
 
-# Most lines per second on standard output; further lines are dropped and
+# Maximum rate of lines on standard output; further lines are dropped and
 # counted.  A host at four times its usual load handles about 100 calls per
 # second and logs one line for each.
 MAX_LINES_PER_S = 400
 # Lines that may be written in one burst, for example at start-up.
 MAX_BURST_LINES = 800
-# Most bytes buffered while the descriptor accepts no more.
+# If more bytes than this wait for the descriptor, new lines are dropped.
 MAX_UNWRITTEN_BYTES = 64 * 1024
 
 
@@ -51,6 +52,9 @@
     Lines beyond the rate limit (a token bucket), and lines that arrive
     while the buffer is full, are dropped and counted; the count is written
     with the next line.
+
+    :param descriptor: the file descriptor; it is made non-blocking.
+    :param clock: returns monotonic time in seconds.
     """
 
     def __init__(self, descriptor, clock=time.monotonic):
@@ -115,7 +119,7 @@
     """Write this process's log to standard output, as JSON lines.
 
     :param process: a short name of the process, such as ``pearrund``.
-    :param zone: the failure domain this process belongs to.
+    :param zone: the failure domain that this process belongs to.
     :param level: the lowest level that is written.
     :returns: the :class:`BoundedWriter`.
     """
--- a/pearrun/losses.py
+++ b/pearrun/losses.py
@@ -1,7 +1,7 @@
-"""Report on lost calls, from the hosts' structured logs.
+"""Report on the results of calls, from the hosts' structured logs.
 
-Shows which calls were lost, when and for which reason.  Calls are counted
-by time span and by route, in one column for each result.
+Shows which calls were late, refused or failed, when and why.  Calls are
+counted by time span and by route, in one column for each result.
 """
 
 import collections
@@ -48,20 +48,20 @@
     """Calls of one time span or of one route.
 
     :param counts: number of calls by :class:`CallResult`.
-    :param first_ms: histogram of the times to the first byte.
+    :param first_byte: histogram of the time to the first byte, in ms.
     """
 
     counts: collections.Counter = dataclasses.field(
         default_factory=collections.Counter
     )
-    first_ms: object = dataclasses.field(default_factory=new_histogram)
+    first_byte: object = dataclasses.field(default_factory=new_histogram)
 
     def add(self, line):
         """Count a call's :class:`LogLine`."""
         self.counts[classify_call(line.fields)] += 1
         first_ms = line.fields.get('first_ms')
         if first_ms is not None:
-            record(self.first_ms, first_ms)
+            record(self.first_byte, first_ms)
 
 
 def classify_call(fields):
@@ -116,14 +116,14 @@
 
 
 def get_arrival_s(line):
-    """Return when a call arrived: Unix time in seconds, by its host."""
+    """Return when a call arrived, in Unix seconds by its host's clock."""
     return line.at - (line.fields.get('total_ms') or 0) / 1000.0
 
 
 def render(title, rows):
-    """Return the lines of a table; columns without calls are omitted.
+    """Return a table as lines of text; empty columns are omitted.
 
-    :param title: heading of the column of row names.
+    :param title: heading of the first column, which has the rows' names.
     :param rows: :class:`Row` objects by name.
     """
     shown = [
@@ -141,7 +141,7 @@
         cells = [
             sum(row.counts.values()),
             *(row.counts[result] for result in shown),
-            row.first_ms.get_value_at_percentile(SHOWN_PERCENTILE),
+            row.first_byte.get_value_at_percentile(SHOWN_PERCENTILE),
         ]
         lines.append(str(name).ljust(width) + ''.join(map(format_cell, cells)))
     return lines
--- a/pearrun/metrics.py
+++ b/pearrun/metrics.py
@@ -12,7 +12,16 @@
 
 @dataclasses.dataclass
 class ServiceMetrics:
-    """Histograms and counters of one service on one daemon."""
+    """Histograms and counters of one service on one daemon.
+
+    :param ttft: time to the first token.
+    :param itl: time between tokens.
+    :param total: time to the complete response.
+    :param retries: attempts that failed and were repeated.
+    :param moves: requests continued on another endpoint because theirs was
+        being reclaimed.
+    :param adopted: requests taken over from another daemon.
+    """
 
     ttft: HdrHistogram = dataclasses.field(
         default_factory=lambda: new_histogram()
@@ -33,7 +42,7 @@
     adopted: int = 0
 
     def to_body(self):
-        """Return counters and encoded histograms, JSON-serializable.
+        """Return counters and encoded histograms as a JSON-serializable body.
 
         Histograms have HdrHistogram's compressed encoding, so that those of
         several daemons can be merged without loss of precision.
@@ -85,7 +94,8 @@
 def merge(encoded_list):
     """Merge several encoded histograms into one.
 
-    :param encoded_list: strings from :meth:`ServiceMetrics.to_body`.
+    :param encoded_list: histograms encoded by
+        :meth:`ServiceMetrics.to_body`.
     :returns: one :class:`HdrHistogram`.
     """
     total = new_histogram()
--- a/pearrun/platform/codec.py
+++ b/pearrun/platform/codec.py
@@ -32,8 +32,12 @@
     :raises UnknownKeyError: the API key is missing or matches no customer.
     :raises BadRequestError: a header is missing or malformed.
     """
-    host = (request.get(b'host') or '').rpartition(':')
-    name = host[0] if host[1] and host[2].isdigit() else host[2]
+    authority = (request.get(b'host') or '').rpartition(':')
+    name = (
+        authority[0]
+        if authority[1] and authority[2].isdigit()
+        else authority[2]
+    )
     path = request.path.decode('latin-1')
     route = config.find_route(name, path)
     if route is None:
@@ -65,7 +69,8 @@
 
     :returns: a :class:`Customer`; ``None`` if no key matches and the route is
         public, or if no customers are configured.
-    :raises UnknownKeyError: the key is missing or matches no customer.
+    :raises UnknownKeyError: the key is missing or matches no customer, and
+        the route is not public.
     """
     if not config.has_customers:
         return None
@@ -100,7 +105,11 @@
 
 
 def decode_deadline(request):
-    """Return how long the caller waits, in milliseconds, or ``None``."""
+    """Return how many milliseconds the caller waits for a response.
+
+    :returns: milliseconds; ``None`` if the request does not state it.
+    :raises BadRequestError: the header is malformed.
+    """
     value = request.get(header_names.DEADLINE_MS)
     if value is None:
         return None
@@ -113,7 +122,11 @@
 
 
 def decode_prompt(request):
-    """Decode the headers that describe a request's prompt."""
+    """Decode the headers that describe a request's prompt.
+
+    :returns: a :class:`Prompt`.
+    :raises BadRequestError: a header is malformed.
+    """
     count = request.get(header_names.TOKEN_COUNT)
     if count is None:
         return Prompt()
@@ -133,7 +146,12 @@
 
 
 def decode_parts(value):
-    """Decode the parts of a prompt, a comma-separated list of ID:TOKENS."""
+    """Decode the parts of a prompt.
+
+    :param value: a comma-separated list of ``ID:TOKENS``, or ``None``.
+    :returns: a tuple of :class:`PromptPart`.
+    :raises ValueError: it is malformed.
+    """
     parts = []
     for entry in (value or '').split(','):
         part_id, _, tokens = entry.strip().partition(':')
@@ -143,7 +161,7 @@
 
 
 class EndpointCodec:
-    """Encodes and decodes headers of endpoint and caller messages."""
+    """Encodes and decodes the messages of endpoints and callers."""
 
     def encode_headers(self, call, record, now_ms, last_event_id):
         """Return the headers of the request that sends a call to an endpoint.
--- a/pearrun/platform/daemon.py
+++ b/pearrun/platform/daemon.py
@@ -43,7 +43,8 @@
 # checks readiness once a second and routes callers here until two checks have
 # failed.
 STOP_ACCEPT_MS = 2600
-# Requests still running this long before the kill are aborted.
+# Requests still running this long before the platform kills the process are
+# aborted.
 KILL_MARGIN_MS = 700
 # Interval of checks for requests still running during the shutdown.
 STOP_POLL_MS = 50
@@ -55,7 +56,8 @@
     """Owns and runs all components of one entry host.
 
     :param settings: the host's :class:`HostSettings`.
-    :param log_writer: log writer whose count of dropped lines is exported.
+    :param log_writer: the :class:`BoundedWriter`, whose count of dropped
+        lines is exported as a metric.
     :param load_settings: function that reads the settings file.
     """
 
@@ -127,7 +129,10 @@
         return duties
 
     def make_duty_notice(self):
-        """Return the notice of a held lease for other hosts, or ``None``."""
+        """Return a notice for other hosts that this host holds the lease.
+
+        :returns: a :class:`DutyNotice`; ``None`` if it does not hold it.
+        """
         if not self.duties.holds():
             return None
         view = self.duties.view
@@ -161,7 +166,7 @@
         await self.metrics.listen(f'{self.settings.ip}:{METRICS_PORT}')
 
     def make_background_coroutines(self):
-        """Return the coroutines that run for the lifetime of the process."""
+        """Return the coroutines that run until the process ends."""
         coroutines = [
             ConfigFollower(self.host, self.store).run(),
             EndpointFollower(self.host, self.store).run(),
@@ -180,7 +185,8 @@
         """Stop accepting connections, finish open requests, then close.
 
         Requests that arrive before the listening socket closes are served;
-        those that have not finished shortly before the kill are aborted.
+        those that have not finished shortly before the platform kills the
+        process are aborted.
         """
         began_ms = self.clock.now()
         self.host.stopping = True
@@ -228,7 +234,7 @@
         logger.info('settings reloaded')
 
     async def watch_settings(self):
-        """Reload the settings file periodically, in case no signal came."""
+        """Reload the settings file periodically, in case a SIGHUP is lost."""
         while True:
             await asyncio.sleep(to_seconds(SETTINGS_POLL_MS))
             self.reload()
--- a/pearrun/platform/decoding.py
+++ b/pearrun/platform/decoding.py
@@ -18,7 +18,7 @@
 
 # Fields whose names are not self-explanatory:
 # - 'split': weighted services that share a route; replaces 'service';
-# - 'stage', 'call_seq': belong to orders of engines, not used here;
+# - 'stage', 'call_seq': about the order that started an engine; not used;
 # - 'born': start time of the endpoint's process, in Unix milliseconds.
 
 ENDPOINT_STATES = {
@@ -61,7 +61,7 @@
         name=item['name'],
         host=item['host'],
         path_prefix=item['path_prefix'],
-        # Calls of a kind unknown to this version are never retried.
+        # A kind unknown to this version is treated as non-idempotent.
         kind=CallKind(kind)
         if kind in ('idempotent', 'stream')
         else CallKind.NON_IDEMPOTENT,
--- a/pearrun/platform/dutyclient.py
+++ b/pearrun/platform/dutyclient.py
@@ -23,11 +23,11 @@
 
 
 class DutyClient:
-    """Sends the duties' calls and aborts each at the end of its term.
+    """Sends the duties' calls; aborts those open when the lease term ends.
 
-    Aborting resets the connection, which discards the data not delivered
-    yet.  Otherwise TCP would retransmit it once an interrupted network path
-    recovers, seconds after the next lease holder has started to act.
+    Aborting resets the connection, which discards data that has not been
+    delivered.  Otherwise TCP would retransmit it once an interrupted network
+    path recovers, seconds after the next lease holder has started to act.
 
     :param address: ``IP:PORT`` of the platform's API.
     :param holder: this host's name.
@@ -49,7 +49,7 @@
         :param term: the :class:`Term` of this host as lease holder.
         :param window: number of the window.
         :param counts: usage by customer.
-        :raises DutyCallError: it was rejected, or no response came.
+        :raises DutyCallError: the call was rejected, or no response came.
         """
         body = {'window_no': window, 'counts': counts}
         await self._post('/usage', term, body)
@@ -59,7 +59,7 @@
 
         :param term: the :class:`Term` of this host as lease holder.
         :param order: an :class:`Order`.
-        :raises DutyCallError: it was rejected, or no response came.
+        :raises DutyCallError: the call was rejected, or no response came.
         """
         body = {
             'service': order.service,
--- a/pearrun/platform/endpointlist.py
+++ b/pearrun/platform/endpointlist.py
@@ -22,8 +22,9 @@
 # times a second, would end each wait at once.  It has to be short, since a
 # drain must be acted on within 2 s.
 READ_PAUSE_MS = 150
-# The same in a large fleet, where hubs read the store: this halves the number
-# of calls, and a drain still reaches all hosts within a second.
+# Pause between reads in a large fleet, where hubs read the store for all
+# hosts.  It halves the number of calls, and a drain still reaches all hosts
+# within a second.
 HUB_READ_PAUSE_MS = 300
 # Endpoint entries that expired during a store outage are written again within
 # 2 s of its recovery.  Until then, an endpoint whose entry was removed may be
@@ -33,7 +34,7 @@
 
 
 class EndpointFollower(SharedFollower):
-    """Keeps the list of endpoints."""
+    """Follows endpoints' entries and keeps the host's list up to date."""
 
     def __init__(self, host, store):
         super().__init__(
@@ -148,7 +149,7 @@
             )
 
     def _get_remaining_grace_ms(self):
-        """Return the rest of the grace period for expired entries.
+        """Return the remaining grace period of expired entries.
 
         The period starts at the store's recovery, even if the removal is
         learnt of later: the endpoint may have left on its own.
--- a/pearrun/platform/followers.py
+++ b/pearrun/platform/followers.py
@@ -1,4 +1,4 @@
-"""Followers of store topics, and the operator's configuration."""
+"""Followers of store topics, such as the operator's configuration."""
 
 import asyncio
 import enum
@@ -18,8 +18,8 @@
 # If a read hangs on a dead connection or misses a record, the other hosts
 # compensate: they forward a newer configuration within 1.5 s.
 LONG_POLL_MS = 25_000
-# The same while there is only one host, as a fraction of the time within which
-# a configuration must be in force.
+# Long-poll wait while there is only one host, as a fraction of the time within
+# which a configuration must be in force.
 SINGLE_HOST_POLL_FRACTION = 0.4
 # How often a host checks whether another host still reads on its behalf.
 FEED_POLL_MS = 2000
@@ -147,7 +147,7 @@
 
 
 class Source(enum.Enum):
-    """Where this host learnt of a change."""
+    """Whether a change was read from the store or forwarded by a peer."""
 
     STORE = 'store'
     PEER = 'peer'
@@ -178,11 +178,11 @@
         if changes is not None:
             self._apply_forwarded(changes)
         elif self.feed.has_gap or self.host.clock.now() >= deadline_ms:
-            # Not a long poll, which may miss a record appended as it arrives.
+            # Not a long poll: it may miss a record written as it begins.
             await self._read_changes(wait_ms=0)
 
     async def _read_changes(self, wait_ms):
-        """Read the store and publish the result to the zone's other hosts."""
+        """Read the store; forward the changes to the zone's other hosts."""
         start = self.position
         read_start_ms = self.host.clock.now()
         records = await super()._read_changes(wait_ms)
@@ -211,7 +211,7 @@
 
 
 class ConfigFollower(Follower):
-    """Follows the operator's configuration and brings it into force."""
+    """Follows the operator's configuration and applies it."""
 
     def __init__(self, host, store):
         super().__init__(host, store, CONFIG_TOPIC)
--- a/pearrun/platform/frontend.py
+++ b/pearrun/platform/frontend.py
@@ -67,7 +67,10 @@
 
 
 class ReadinessHandler:
-    """Handles the platform's readiness checks."""
+    """Handles the platform's readiness checks.
+
+    :param host: the :class:`HostContext`.
+    """
 
     def __init__(self, host):
         self.host = host
--- a/pearrun/platform/headers.py
+++ b/pearrun/platform/headers.py
@@ -1,6 +1,6 @@
 """Header names of the platform's protocol.
 
-Names that requests are searched for are in lower case.
+Names that received messages are searched for are in lower case.
 """
 
 ATTEMPT_ID = b'pearrun-attempt-id'
--- a/pearrun/platform/leaselog.py
+++ b/pearrun/platform/leaselog.py
@@ -13,7 +13,7 @@
 
 
 class LeaseLog:
-    """Reads and writes the log and keeps a :class:`LeaseView` up to date.
+    """Reads and writes the lease log; keeps a :class:`LeaseView` up to date.
 
     :param store: the :class:`StoreClient`.
     :param view: the :class:`LeaseView`.
--- a/pearrun/platform/membership.py
+++ b/pearrun/platform/membership.py
@@ -13,15 +13,15 @@
 # Pause between reads.  Hosts that start together register one after the other,
 # and without the pause each entry would cost a read of its own.
 READ_PAUSE_MS = 300
-# Maximum age of the list while another host reads it and forwards changes,
-# before this host reads the store itself.  The other host's reads wait up to
-# LONG_POLL_MS.
+# While another host reads the list and forwards changes, this host reads the
+# store itself only if the list is older than this.  The other host's reads
+# wait up to LONG_POLL_MS.
 MAX_LIST_AGE_MS = LONG_POLL_MS + 5000
-# The same while nothing is forwarded: the list of endpoints, if forwarded at
-# all, arrives every second.
+# Maximum age of the list while no other host forwards changes.  Whether one
+# does is known from the list of endpoints, which it forwards every second.
 LOCAL_READ_INTERVAL_MS = 3000
 # Timeout of the removal of a host's own entry during its shutdown; less than
-# the margin that the daemon reserves before the kill.
+# the time that the daemon reserves before the platform kills the process.
 DEREGISTER_TIMEOUT_MS = 400
 # A host that has not been heard for this long is removed from the list, so
 # that hosts stop connecting to it and counting it.  This exceeds the network
@@ -50,7 +50,7 @@
         self.list_read_ms = 0
 
     async def deregister(self):
-        """Remove this host's entry; tried once, as the process is ending."""
+        """Remove this host's entry, without retries: the process is ending."""
         self.leaving = True
         try:
             await self.store.put(
@@ -108,7 +108,8 @@
         if member is None:
             return
         if member.name == self.own_member.name:
-            # The store may execute a delayed write of this host's last run.
+            # The store may execute a delayed write of this host's previous
+            # run, which replaces the entry of this run.
             self.registered = member == self.own_member
         self.host.members.put(member)
         logger.bind(
--- a/pearrun/platform/quarantinelog.py
+++ b/pearrun/platform/quarantinelog.py
@@ -13,7 +13,7 @@
 from pearrun.shared import suspects
 
 TOPIC = 'quarantine'
-# Pause between reads; applies until another host reads for the zone.
+# Pause between reads, while no other host reads for the zone.
 READ_PAUSE_MS = 1000
 # How often unsaved requests are looked for.
 SAVE_INTERVAL_MS = 250
@@ -48,7 +48,7 @@
         await self._remove_expired()
 
     def _has_remote_reader(self):
-        """Return whether another host of the zone reads and is heard."""
+        """Return whether another host forwards changes to this zone."""
         feed = self.host.feed
         return feed.followed and feed.is_reader_active()
 
--- a/pearrun/platform/settings.py
+++ b/pearrun/platform/settings.py
@@ -17,7 +17,10 @@
 
 @dataclasses.dataclass(frozen=True)
 class StoreSettings:
-    """Settings of the platform's store."""
+    """Settings of the platform's store.
+
+    :param address: ``IP:PORT`` of the store.
+    """
 
     address: str
 
@@ -26,6 +29,7 @@
 class DutySettings:
     """Settings of the platform API that the duties call.
 
+    :param address: ``IP:PORT`` of the API.
     :param names: the duties that this deployment performs.
     """
 
@@ -35,7 +39,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class RetrySettings:
-    """Retry budget of all hosts together.
+    """Retry budget of a service, for all hosts together.
 
     The number of retries in any window must not exceed ``ratio`` times the
     number of calls, plus ``slack``.
@@ -61,8 +65,14 @@
 class HostSettings:
     """All settings of one entry host.
 
-    :param shutdown_ms: milliseconds from the stop signal to the kill.
+    :param front_address: ``IP:PORT`` on which callers' requests are served.
+    :param ready_address: ``IP:PORT`` on which readiness checks are served.
+    :param first_port: first port of the host's range, on which it accepts
+        links from other hosts.
+    :param duties: ``None`` if this deployment performs no duties.
     :param link_mbps: bandwidth of its network link in megabits per second.
+    :param shutdown_ms: milliseconds from the stop signal until the platform
+        kills the process.
     :param drain_ms: milliseconds during which a draining endpoint still
         serves.
     :param config_ms: milliseconds within which a new configuration must be
--- a/pearrun/platform/store.py
+++ b/pearrun/platform/store.py
@@ -18,7 +18,7 @@
 from pearrun.http1.pool import PoolSettings
 
 KEYED_PREFIX = 'keyed.'
-# The store is a few ms away and responds in 4 ms.
+# The store is a few ms away and usually responds in 4 ms.
 CONNECT_TIMEOUT_MS = 1000
 # How long sent data may stay unacknowledged before the connection is closed.
 TCP_USER_TIMEOUT_MS = 1500
@@ -28,10 +28,10 @@
 CALL_TIMEOUT_MS = 1500
 # Added to the wait of a long poll to get its timeout.
 LONG_POLL_MARGIN_MS = 1000
-# Timeout of a read that does not wait; longer than a slow store takes.  After
-# a read that hangs, there must be time for a second one within the time in
-# which a drain must be acted on.  Each consecutive failure doubles the
-# timeout, up to LONG_POLL_MARGIN_MS.
+# Timeout of a read that does not wait; longer than a slow store takes.  It
+# leaves time for a second read, after one that hangs, before a drain must be
+# acted on.  Each consecutive failure doubles the timeout, up to
+# LONG_POLL_MARGIN_MS.
 READ_TIMEOUT_MS = 300
 MAX_TIMEOUT_DOUBLINGS = 2
 MAX_BODY_BYTES = 8 * 1024 * 1024
@@ -120,8 +120,9 @@
 
         :param wait_ms: how long the store waits while there is none.
         :returns: a :class:`Batch`.
-        :raises ExpiredOffsetError: records from this offset were deleted.
-        :raises StoreUnavailableError: no response.
+        :raises ExpiredOffsetError: the record at this offset was deleted.
+        :raises RateLimitedError: the store's rate limit was exceeded.
+        :raises StoreUnavailableError: no response, or an error status.
         """
         query = {'topic': topic, 'part': 0, 'from': start}
         if wait_ms:
@@ -145,6 +146,8 @@
             the offset from which later changes can be read.  This is the
             end reported with the first page, so that no change between pages
             is missed.
+        :raises RateLimitedError: the store's rate limit was exceeded.
+        :raises StoreUnavailableError: no response, or an error status.
         """
         records = []
         end = None
@@ -165,7 +168,10 @@
             query['after'] = items[-1]['key']
 
     async def put(self, topic, key, value, timeout_ms=CALL_TIMEOUT_MS):
-        """Write a key of a keyed topic; ``None`` removes it."""
+        """Write one key of a keyed topic.
+
+        :param value: the new value as bytes; ``None`` removes the key.
+        """
         return await self.put_all(topic, [(key, value)], timeout_ms)
 
     async def put_all(self, topic, pairs, timeout_ms=CALL_TIMEOUT_MS):
@@ -181,7 +187,10 @@
     async def read_changes(self, topic, start, wait_ms):
         """Read changes of a keyed topic.
 
-        :returns: ``(records, next)``; see :meth:`read_newest`.
+        :param start: offset to read from; see :meth:`read_newest`.
+        :param wait_ms: how long the store waits while there is no change.
+        :returns: ``(records, next)``: a list of :class:`KeyedRecord` and
+            the offset to read from next.
         """
         batch = await self.read(KEYED_PREFIX + topic, start, wait_ms)
         return [decode_keyed(item) for item in batch.records], batch.next
@@ -227,7 +236,7 @@
         return response
 
     def _abort_stale_reads(self):
-        """Abort long polls begun before an outage: they may hang."""
+        """After an outage, abort all calls in flight: they may hang."""
         if not self.failing:
             return
         self.failing = False
--- a/pearrun/platform/usagelog.py
+++ b/pearrun/platform/usagelog.py
@@ -1,4 +1,4 @@
-"""Usage counts not reported yet, kept in the platform's store."""
+"""Usage counts that are not reported yet, in the platform's store."""
 
 import cbor2
 from loguru import logger
--- a/pearrun/relay/call.py
+++ b/pearrun/relay/call.py
@@ -18,6 +18,7 @@
     :param deadline_ms: monotonic time at which the caller gives up.
     :param timeout_at_ms: monotonic time by which a response is due: the
         earlier of the caller's deadline and the route's timeout.
+    :param priority: 0 is the most urgent.
     :param units: quota units that the call consumes.
     :param last_event_id: id of the last event that the caller has
         received; the stream resumes after it.
@@ -36,7 +37,7 @@
 
     @functools.cached_property
     def fingerprint(self):
-        """The fingerprint, equal for retries of the same request."""
+        """The fingerprint, which is equal for retries of the same request."""
         request = self.request
         customer = self.customer.name if self.customer else ''
         return make_fingerprint(
--- a/pearrun/relay/events.py
+++ b/pearrun/relay/events.py
@@ -2,14 +2,16 @@
 
 from pearrun import exceptions
 
-# Most bytes that are buffered while an event is incomplete.
+# Maximum number of bytes buffered while an event is incomplete.
 MAX_EVENT_BYTES = 1024 * 1024
 
 
 class EventSplitter:
     """Buffers a stream's bytes and returns complete events.
 
-    ``last_event_id`` is the id of the last event returned.
+    ``last_event_id`` is the id of the last event returned that has one.
+
+    :param last_event_id: its initial value.
     """
 
     def __init__(self, last_event_id=None):
@@ -39,7 +41,7 @@
 
     @property
     def incomplete(self):
-        """Bytes of the last event, which is not complete yet."""
+        """Bytes received of an event that is not complete yet."""
         return self._buffer
 
 
--- a/pearrun/relay/exchange.py
+++ b/pearrun/relay/exchange.py
@@ -16,7 +16,8 @@
 # size before they are forwarded, so that an incomplete one can still be
 # replaced by an error.
 MAX_BUFFERED_BYTES = 256 * 1024
-# Most bytes read of a refusal's body, which is usually a few bytes long.
+# Maximum number of bytes read of a refusal's body, which is usually a few
+# bytes long.
 MAX_REFUSAL_BYTES = 16 * 1024
 # Responses to other requests that are skipped before the connection is
 # closed.
@@ -26,9 +27,11 @@
 class Exchange:
     """Sends a call to an endpoint and forwards its response.
 
-    :param host: shared objects of this host.
+    :param host: the :class:`HostContext`.
+    :param call: the :class:`Call`.
     :param service: the endpoint's :class:`Service`.
-    :param caller: the :class:`ServerConnection` to answer on.
+    :param caller: the :class:`ServerConnection` to respond on.
+    :param trace: the call's :class:`CallTrace`.
     """
 
     def __init__(self, host, call, service, caller, trace):
@@ -109,7 +112,7 @@
                 return await self._read_refusal(head, kind)
             case ResponseKind.UNSEALED:
                 self._record_failure()
-                return OutcomeUnknown(f'unsealed answer {head.status}'), None
+                return OutcomeUnknown(f'unsealed response {head.status}'), None
         self.host.usage.count(self.call)
         if self.call.route.kind is CallKind.STREAM and head.status < 300:
             return await self._forward_stream(head, resume)
@@ -119,7 +122,7 @@
         """Read response heads until one belongs to this call.
 
         :returns: ``(head, kind)``.
-        :raises BackendError: none did.
+        :raises BackendError: the connection broke, or none belonged to it.
         """
         for _ in range(MAX_STRAY_RESPONSES):
             head = await self.connection.read_head()
@@ -239,7 +242,7 @@
         self.trace.record_first_byte(now)
 
     def _record_success(self):
-        """Record that the endpoint answered, and after how long."""
+        """Record that the endpoint responded, and after how long."""
         took_ms = self.host.clock.since(self.sent_ms)
         self.host.selection.note_success(self.selected.endpoint)
         self.host.demands.note_answer(self.service.name, took_ms)
--- a/pearrun/relay/outcomes.py
+++ b/pearrun/relay/outcomes.py
@@ -31,7 +31,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class ErrorResponse:
-    """The endpoint answered with a server error; another may succeed.
+    """The endpoint returned a server error; another endpoint may succeed.
 
     :param head: the endpoint's :class:`ResponseHead`.
     """
--- a/pearrun/relay/relay.py
+++ b/pearrun/relay/relay.py
@@ -17,13 +17,13 @@
 from pearrun.relay.trace import Ending
 from pearrun.shared.configuration import CallKind
 
-# Most attempts for one call, also when no endpoint has run it; more would
-# spend the service's retry budget on one call.
+# Maximum number of attempts for one call, even if no endpoint has run it; more
+# would spend the service's retry budget on one call.
 MAX_ATTEMPTS = 4
 # Reason in the log line of a call that is refused as quarantined.
 QUARANTINED = 'quarantined'
-# Retry-After of callers when no endpoint is available.  The endpoint list
-# is refreshed within about 2 s, so this is a fraction of that.
+# Retry-After if no endpoint is available.  The list of endpoints is refreshed
+# within about 2 s; this is a fraction of that.
 NO_ENDPOINT_RETRY_AFTER_MS = 500
 # Factor by which Retry-After exceeds the time until a customer over its
 # quota may send the next call: several calls wait for the same units.
@@ -33,7 +33,7 @@
 class Relay:
     """Forwards calls, with retries within each service's budget.
 
-    :param host: shared objects of this host; see :class:`HostContext`.
+    :param host: the :class:`HostContext`.
     """
 
     def __init__(self, host):
@@ -46,7 +46,7 @@
         """Serve a call until it has ended.
 
         :param call: the :class:`Call`.
-        :param caller: the :class:`ServerConnection` to answer on.
+        :param caller: the :class:`ServerConnection` to respond on.
         """
         trace = CallTrace(call, self.clock.now())
         try:
@@ -66,7 +66,11 @@
         if not self.host.quotas.admit(call):
             trace.reason = 'quota'
             await self._refuse(
-                call, caller, trace, 429, self._quota_retry_after(call)
+                call,
+                caller,
+                trace,
+                429,
+                self._compute_quota_retry_after_ms(call),
             )
             return
         service = self._choose_service(call)
@@ -76,7 +80,7 @@
                 call, caller, trace, 503, NO_ENDPOINT_RETRY_AFTER_MS
             )
             return
-        self._budget(service.name).count_call(self.clock.now())
+        self._get_budget(service.name).count_call(self.clock.now())
         left_ms = call.timeout_at_ms - self.clock.now()
         try:
             async with asyncio.timeout(to_seconds(max(0, left_ms))):
@@ -85,7 +89,7 @@
             await self._time_out(call, caller, trace)
 
     async def _serve(self, call, service, caller, trace):
-        """Send the call, with retries, until it is answered or fails."""
+        """Send the call, with retries, until it succeeds or fails."""
         tried = set()
         unconnected = set()
         resume = ResumePoint(call.last_event_id)
@@ -103,9 +107,9 @@
                     selected.uncached_tokens,
                     call.route.latency_target_ms,
                 )
-            if not trace.attempts and not self._admits(call, selected):
+            if not trace.attempts and not self._should_admit(call, selected):
                 trace.reason = 'overload'
-                retry_after_ms = self._retry_after_ms(
+                retry_after_ms = self._compute_retry_after_ms(
                     call, selected.expected_ms
                 )
                 await self._refuse(call, caller, trace, 503, retry_after_ms)
@@ -126,10 +130,14 @@
     def _choose_endpoint(self, call, service, trace, tried, unconnected):
         """Choose the next endpoint for a call.
 
-        Endpoints that accepted no connection are tried again only for a
-        call that may have run: it can no longer be refused as not run, and
-        an endpoint that was slow to accept may still answer it.  Any other
-        call is refused at once.
+        Endpoints that accepted no connection are tried again only if the
+        call may have run: such a call can no longer be refused as not run,
+        and an endpoint that was slow to accept may still serve it.  Any
+        other call is refused at once.
+
+        :param tried: ids of the endpoints that the call was sent to.
+        :param unconnected: ids of the endpoints that accepted no connection.
+        :returns: a :class:`Selected`; ``None`` if no endpoint is left.
         """
         selection = self.host.selection
         selected = selection.choose(call, service, tried | unconnected)
@@ -170,7 +178,10 @@
         return False
 
     def _may_rerun(self, call, service, trace):
-        """Return whether a call that may have run is sent again."""
+        """Return whether to resend a call that may have run.
+
+        If so, the retry is taken from the service's budget.
+        """
         return (
             call.route.retryable
             and trace.runs < call.route.max_attempts
@@ -179,11 +190,14 @@
         )
 
     def _take_retry(self, service):
-        """Take one retry from the service's budget, if it has one left."""
+        """Take one retry from the service's budget.
+
+        :returns: whether the budget had one left.
+        """
         hosts = self.host.count_hosts()
-        return self._budget(service.name).take(self.clock.now(), hosts)
+        return self._get_budget(service.name).take(self.clock.now(), hosts)
 
-    def _budget(self, service_name):
+    def _get_budget(self, service_name):
         if service_name not in self.budgets:
             settings = self.host.settings.retry
             self.budgets[service_name] = RetryBudget(settings)
@@ -198,7 +212,7 @@
         chosen = random.choices(targets, weights)[0]
         return services.get(chosen.name)
 
-    def _admits(self, call, selected):
+    def _should_admit(self, call, selected):
         if call.route.kind is not CallKind.STREAM:
             return True
         left_ms = call.timeout_at_ms - self.clock.now()
@@ -210,19 +224,19 @@
             self.admission,
         )
 
-    def _quota_retry_after(self, call):
-        """Return the milliseconds until a call over its quota may be retried.
+    def _compute_quota_retry_after_ms(self, call):
+        """Return after how many milliseconds to retry a call over its quota.
 
         The customer's other refused calls are retried too and compete for
         the same units, so this is longer than the wait for one call.
         """
         wait_ms = QUOTA_RETRY_AFTER_FACTOR * self.host.quotas.get_wait_ms(call)
-        return self._retry_after_ms(call, wait_ms)
+        return self._compute_retry_after_ms(call, wait_ms)
 
-    def _retry_after_ms(self, call, wait_ms):
+    def _compute_retry_after_ms(self, call, wait_ms):
         """Return after how many milliseconds to retry a refused call.
 
-        :param get_wait_ms: time until the call could be served.
+        :param wait_ms: time until the call could be served.
         """
         left_ms = call.timeout_at_ms - self.clock.now()
         return admission.compute_retry_after_ms(
--- a/pearrun/relay/responsekinds.py
+++ b/pearrun/relay/responsekinds.py
@@ -1,13 +1,16 @@
-"""What an endpoint's response head says about a call."""
+"""Kinds of responses from endpoints."""
 
 import enum
 
 
 class ResponseKind(enum.Enum):
-    """How a response is to be handled.
+    """Kind of a response, by its status and headers.
 
-    A ``STRAY`` response belongs to another request; an ``UNSEALED`` one
-    lacks the ``Pearrun-Runner-Seal`` header.
+    With ``NOT_RUN`` the endpoint states that it has not run the call;
+    ``WRONG_ENDPOINT`` means that another endpoint than expected has
+    received it.  A ``STRAY`` response belongs to another request; an
+    ``UNSEALED`` one lacks the ``Pearrun-Runner-Seal`` header.  Any other
+    response is an ``ANSWER``.
     """
 
     ANSWER = 'answer'
--- a/pearrun/relay/trace.py
+++ b/pearrun/relay/trace.py
@@ -37,6 +37,10 @@
 
     :param call: the :class:`Call`.
     :param started_ms: monotonic time at which the call arrived.
+
+    ``runs`` counts the attempts in which an endpoint ran the call or may
+    have run it; ``outcome_pending`` is true while an attempt whose request
+    was written has no outcome yet.
     """
 
     def __init__(self, call, started_ms):
@@ -44,7 +48,7 @@
         self.started_ms = started_ms
         self.attempts = []
         self.runs = 0
-        self.in_flight = False
+        self.outcome_pending = False
         self.error_response = None
         self.first_byte_ms = None
         self.expected_ms = 0.0
@@ -55,8 +59,8 @@
 
     @property
     def may_have_run(self):
-        """Whether an endpoint has run the call or may have."""
-        return self.runs > 0 or self.in_flight
+        """Whether an endpoint has run the call or may have run it."""
+        return self.runs > 0 or self.outcome_pending
 
     def record_attempt(self, selected, now_ms):
         """Record an attempt to send the call to an endpoint."""
@@ -65,17 +69,17 @@
 
     def record_written(self):
         """Record that the request was written: it may run from now on."""
-        self.in_flight = True
+        self.outcome_pending = True
 
     def record_not_run(self, reason):
         """Record that the endpoint has not run the call, and why."""
-        self.in_flight = False
+        self.outcome_pending = False
         self._set_outcome(reason)
 
     def record_run(self, reason):
-        """Record that the call ran or may have, and why it failed."""
+        """Record that the call ran or may have run, and why it failed."""
         self.runs += 1
-        self.in_flight = False
+        self.outcome_pending = False
         self._set_outcome(reason)
 
     def _set_outcome(self, reason):
@@ -83,7 +87,7 @@
         self.attempts[-1].outcome = reason
 
     def record_first_byte(self, now_ms):
-        """Record when the first byte of a response is forwarded."""
+        """Record when the first byte is forwarded; later calls do nothing."""
         if self.first_byte_ms is None:
             self.first_byte_ms = now_ms - self.started_ms
 
