--- a/pearrun/platform/store.py
+++ b/pearrun/platform/store.py
@@ -232,10 +232,10 @@
             ) from exc
         self._consecutive_failures = 0
         if response.head.status < 500 and response.head.status != 429:
-            self._abort_stale_reads()
+            self._abort_hanging_calls()
         return response
 
-    def _abort_stale_reads(self):
+    def _abort_hanging_calls(self):
         """After an outage, abort all calls in flight: they may hang."""
         if not self.failing:
             return
