--- a/benchmarks/placement.py
+++ b/benchmarks/placement.py
@@ -27,7 +27,7 @@
 from pearrun.decisions.topology import MAX_MESH_HOSTS
 from pearrun.shared.prompts import PromptPart
 from pearrun.shared.selection import HUB_REPORT_AGE_MS
-from pearrun.shared.selection import LARGE_TOKENS
+from pearrun.shared.selection import LARGE_PROMPT_TOKENS
 
 FLAGS = flags.FLAGS
 flags.DEFINE_list('hosts', ['9', '83', '195', '320'], 'numbers of hosts')
@@ -354,7 +354,7 @@
         own = self.reports.own[call.host]
         own[number] += 1
         own[count + number] += call.fresh
-        if call.fresh >= LARGE_TOKENS:
+        if call.fresh >= LARGE_PROMPT_TOKENS:
             self.reports.tell(call.host)
         self.at(self.now + 300.0, self._note_placed, best.id, call.part)
         self.at(self.now + 2.0, self._arrive, call, number)
@@ -382,7 +382,7 @@
         )
 
     def _note_placed(self, endpoint_id, part):
-        self.prefixes.note(endpoint_id, [part], self.now)
+        self.prefixes.note_cached(endpoint_id, [part], self.now)
 
     def _arrive(self, call, number):
         self.engines[number].accept(call)
--- a/pearrun/api/crashes.py
+++ b/pearrun/api/crashes.py
@@ -99,9 +99,9 @@
         if not await is_down(f'{url.hostname}:{url.port or HTTP_PORT}'):
             return
         now = self.clock.now()
-        ran_well = is_call_stable(ran_ms, ran_ms if progressed else 0)
+        call_was_stable = is_call_stable(ran_ms, ran_ms if progressed else 0)
         crash_id = self._make_crash_id(endpoint.id, now)
-        crash = Crash(crash_id, now, ran_ms, ran_well)
+        crash = Crash(crash_id, now, ran_ms, call_was_stable)
         self.quarantine.handle_crashes([(job.fingerprint, crash)])
 
     def describe(self):
--- a/pearrun/api/daemon.py
+++ b/pearrun/api/daemon.py
@@ -91,7 +91,7 @@
             self.hear_leaving,
             self.crashes.receive,
         )
-        self.crashes.quarantine.tell_others = (
+        self.crashes.quarantine.notify_peers = (
             self.membership.heartbeat_requested.set
         )
         runner = Runner(
--- a/pearrun/decisions/admission.py
+++ b/pearrun/decisions/admission.py
@@ -1,14 +1,14 @@
 """Admission control: which calls to reject, and their Retry-After time.
 
 Load pattern: the endpoints receive more calls than they can serve, either
-briefly (a burst) or for longer (no further endpoints are available). A call is
-rejected immediately if it would queue for most of its latency target before
-its own prompt is processed, or if its first token is not expected within the
-time that the caller has left. Admitting it would delay the calls queued behind
-it beyond their targets as well, until no call is served in time, and its
-caller would lose the time for a retry. The processing time of the call's own
-prompt does not count against the target, so large calls are not rejected more
-often than others.
+briefly (a burst) or for longer (no further endpoints are available).  A call
+is rejected immediately if it would queue for most of its latency target
+before its own prompt is processed, or if its first token is not expected
+within the time that the caller has left.  Admitting it would delay the calls
+queued behind it beyond their targets as well, until no call is served in
+time, and its caller would lose the time for a retry.  The processing time of
+the call's own prompt does not count against the target, so large calls are
+not rejected more often than others.
 """
 
 import dataclasses
@@ -41,7 +41,7 @@
 
 
 def should_admit(expected_ms, queued_ms, remaining_ms, target_ms, settings):
-    """Say whether a call can be served in time.
+    """Return whether a call can be served in time.
 
     :param expected_ms: expected time to its first token.
     :param queued_ms: the same without the processing time of its own prompt.
@@ -59,8 +59,8 @@
     """Return the time after which a rejected caller should retry.
 
     The time is random, around half of the expected wait, so that callers
-    rejected together do not retry together. It is bounded by a fraction of the
-    latency target, because a caller that stays away for longer misses its
+    rejected together do not retry together.  It is bounded by a fraction of
+    the latency target, because a caller that stays away for longer misses its
     target even if the load drops.
 
     :param expected_ms: expected time until a call can be admitted.
--- a/pearrun/decisions/avoidance.py
+++ b/pearrun/decisions/avoidance.py
@@ -1,27 +1,27 @@
 """Circuit breaking: when to stop sending to a failing endpoint or zone.
 
 Load pattern: endpoints crash, stop responding or fail some of their calls
-while their heartbeats look healthy, and whole zones become unreachable. The
-decision depends on the results of calls. Each consecutive failure doubles the
-pause, and one success ends it. When a pause expires, a single call probes the
-endpoint; other calls wait for its result.
+while their heartbeats look healthy, and whole zones become unreachable.  The
+decision depends on the results of calls.  Each consecutive failure doubles
+the pause, and one success ends it.  When a pause expires, a single call
+probes the endpoint; other calls keep avoiding it for a while.
 """
 
 import dataclasses
 
-# Pause after the first connection failure: a tenth of the time in which the
-# endpoint list of the platform can show that the endpoint is gone.
+# Pause after the first connection failure: a tenth of the time that the
+# platform's endpoint list takes to show that an endpoint is gone.
 INITIAL_PAUSE_MS = 300
 MAX_PAUSE_MS = 4000
-# Consecutive failed calls on established connections that start a pause. A
+# Consecutive failed calls on established connections that start a pause.  A
 # plain service fails 14 of 100 calls in normal operation.
 FAILURE_THRESHOLD = 4
 
 # Number of unresponsive endpoints in a zone, without a response from the zone
-# in between, after which the whole zone is treated as unreachable. A single
+# in between, after which the whole zone is treated as unreachable.  A single
 # endpoint may be down by itself.
 SILENT_ENDPOINT_THRESHOLD = 2
-# Time for which a probe holds back other calls.
+# How long other calls avoid an endpoint or zone that is being probed.
 PROBE_TIMEOUT_MS = 600
 
 
@@ -36,7 +36,7 @@
     length_ms: int = 0
 
     def begin(self, now_ms):
-        """Start a pause, twice as long as the last one after a failure."""
+        """Start a pause, twice as long as the previous one, up to a limit."""
         self.length_ms = compute_pause_ms(self.length_ms)
         self.until_ms = now_ms + self.length_ms
 
@@ -46,11 +46,11 @@
         self.length_ms = 0
 
     def holds(self, now_ms):
-        """Say whether the pause is in effect."""
+        """Return whether the pause is in effect."""
         return now_ms < self.until_ms
 
     def start_probe(self, now_ms):
-        """Hold back other calls while one call probes after the pause."""
+        """Keep other calls away while a single call probes after a pause."""
         if self.length_ms:
             self.until_ms = max(self.until_ms, now_ms + PROBE_TIMEOUT_MS)
 
@@ -91,10 +91,11 @@
 
 
 def should_pause(failures, refused):
-    """Say whether an endpoint should get no calls for a while.
+    """Return whether an endpoint should get no calls for a while.
 
     :param failures: number of consecutive failed calls.
-    :param refused: whether the last call could not even connect.
+    :param refused: whether the last call could not connect, or got no
+        response at all.
     """
     return refused or failures >= FAILURE_THRESHOLD
 
@@ -102,7 +103,7 @@
 def filter_usable(items, is_paused):
     """Drop the paused items, unless all of them are paused.
 
-    :param is_paused: predicate that says whether an item is paused.
+    :param is_paused: predicate that returns whether an item is paused.
     """
     usable = [item for item in items if not is_paused(item)]
     return usable or items
--- a/pearrun/decisions/budget.py
+++ b/pearrun/decisions/budget.py
@@ -1,17 +1,17 @@
 """Retry budget: how many retries a host may send.
 
 Load pattern: endpoints fail or reject many calls at once, and every host
-retries its share of them, which would multiply the load. All hosts together
-may retry a fixed ratio of the calls plus a fixed slack. Each host applies the
+retries its share of them, which would multiply the load.  All hosts together
+may retry a fixed ratio of the calls plus a fixed slack.  Each host applies the
 ratio to its own calls and takes an equal part of the slack, so the total limit
 holds without communication, even in a network partition.
 """
 
 import collections
 
-# Fraction of the ratio and of the slack that is used. The windows of the hosts
-# are not aligned: calls of one host may fall into a window in which those of
-# another host no longer count.
+# Fraction of the ratio and of the slack that is used.  The windows of the
+# hosts are not aligned: calls of one host may fall into a window in which
+# those of another host no longer count.
 SAFETY_FACTOR = 0.7
 
 
@@ -24,10 +24,10 @@
     def __init__(self, settings):
         self.settings = settings
         self._calls = collections.deque()
-        self._repeats = collections.deque()
+        self._retries = collections.deque()
 
     def count_call(self, now_ms):
-        """Count a call from a caller."""
+        """Count a call received from a caller; retries are not counted."""
         self._calls.append(now_ms)
         self._drop_old(now_ms)
 
@@ -42,13 +42,13 @@
         allowed = SAFETY_FACTOR * (
             self.settings.ratio * len(self._calls) + slack
         )
-        if len(self._repeats) + 1 > allowed:
+        if len(self._retries) + 1 > allowed:
             return False
-        self._repeats.append(now_ms)
+        self._retries.append(now_ms)
         return True
 
     def _drop_old(self, now_ms):
         oldest_ms = now_ms - self.settings.window_ms
-        for times in (self._calls, self._repeats):
+        for times in (self._calls, self._retries):
             while times and times[0] < oldest_ms:
                 times.popleft()
--- a/pearrun/decisions/demand.py
+++ b/pearrun/decisions/demand.py
@@ -1,9 +1,9 @@
 """Measures the demand on a service from its arriving calls.
 
 Load pattern: waves, bursts and a surge of a single customer, while endpoints
-are reclaimed or stop responding. The number of calls in progress does not
+are reclaimed or stop responding.  The number of calls in progress does not
 measure demand: calls accumulate when endpoints are too few or unreachable, so
-that an estimate based on it rises although demand does not. Demand is
+that an estimate based on it rises although demand does not.  Demand is
 therefore measured from arrivals: the call rate, the typical duration of
 completed calls, and the prompt tokens.
 """
@@ -11,20 +11,20 @@
 import collections
 import dataclasses
 
-# Averaging window. Long prompts are rare, so the sum of tokens varies widely
+# Averaging window.  Long prompts are rare, so the sum of tokens varies widely
 # over shorter windows.
 WINDOW_MS = 3000
 # Arrivals are summed up in intervals of this length.
 INTERVAL_MS = 250
-# Decay factor of the moving average of call durations, per completed call. The
-# weight of a call halves after 69 further calls, so a few delayed calls have
-# little effect.
+# Decay factor of the moving average of call durations, per completed call.
+# The weight of a call halves after 69 further calls, so a few delayed calls
+# have little effect.
 DECAY = 0.99
 # Assumed call duration before the first call completes: about that of the
 # shorter generations.
 INITIAL_ANSWER_MS = 1000.0
-# Weight of the assumed duration, in completed calls. Small, since each host of
-# a large fleet sees only a few calls.
+# Weight of the assumed duration, in completed calls.  Small, since each host
+# of a large fleet sees only a few calls.
 INITIAL_WEIGHT = 2
 # A latency target is considered if at least this fraction of the calls has it.
 MIN_TARGET_SHARE = 0.1
@@ -67,7 +67,10 @@
 
 
 class DemandMeter:
-    """Measures the demand on one service through one host."""
+    """Measures the demand on one service through one host.
+
+    ``answer_ms`` is the moving average of the durations of completed calls.
+    """
 
     def __init__(self):
         self.answer_ms = INITIAL_ANSWER_MS
--- a/pearrun/decisions/enginemodel.py
+++ b/pearrun/decisions/enginemodel.py
@@ -1,16 +1,16 @@
 """Learns the prefill speed of the engines of a service.
 
 Load pattern: the engines of one customer process twice as many prompt tokens
-per millisecond as those of another, and the configuration does not say so. The
-time to the first token grows linearly with the number of prompt tokens that an
-engine has to process first, so a linear regression over (tokens, time) yields
-the fixed latency and the prefill speed. Older samples are weighted down
-exponentially, so that the model follows changes of the engines.
+per millisecond as those of another, and the configuration does not say so.
+The time to the first token grows linearly with the number of prompt tokens
+that an engine has to process first, so a linear regression over (tokens,
+time) yields the fixed latency and the prefill speed.  Older samples are
+weighted down exponentially, so that the model follows changes of the engines.
 
 The regression sums of several hosts can be added up, because the few samples
-per second of a single host are too few for a model of its own. A prior stands
-in for samples until some have arrived. Outliers, such as responses of a paused
-or faulty endpoint, are ignored.
+per second of a single host are too few for a model of its own.  A prior
+stands in for samples until some have arrived.  Outliers, such as responses of
+a paused or faulty endpoint, are ignored.
 """
 
 import dataclasses
@@ -140,7 +140,7 @@
 
 
 def is_outlier(model, tokens, waited_ms, settings):
-    """Say whether a sample is too late to reflect the prefill speed.
+    """Return whether a sample took too long to reflect the prefill speed.
 
     :param model: the :class:`EngineModel` that predicts its time.
     """
@@ -153,6 +153,6 @@
     """Sum up the :class:`RegressionSums` of several hosts by service."""
     sums = {}
     for report in reports:
-        for name, line in report.items():
-            sums[name] = sums.get(name, EMPTY_SUMS).combine(line)
+        for name, host_sums in report.items():
+            sums[name] = sums.get(name, EMPTY_SUMS).combine(host_sums)
     return sums
--- a/pearrun/decisions/evidence.py
+++ b/pearrun/decisions/evidence.py
@@ -1,7 +1,7 @@
 """Weighs endpoint crashes as evidence against requests.
 
 Load pattern: a crash of an endpoint breaks all calls that run there, and many
-endpoints may crash at once. A call that had been running stably, or that was
+endpoints may crash at once.  A call that had been running stably, or that was
 sent to several endpoints of one failure domain, rarely is the cause.
 """
 
@@ -14,18 +14,18 @@
 from pearrun.ids import ZoneName
 
 # A call is considered stable once its response has been streaming for
-# STABLE_ANSWER_MS, or once it has been in progress for STABLE_CALL_MS. A
+# STABLE_ANSWER_MS, or once it has been in progress for STABLE_CALL_MS.  A
 # request that crashes endpoints rarely takes that long.
 STABLE_ANSWER_MS = 1000
 STABLE_CALL_MS = 5000
-# Weight of a crash as evidence against a stable call. Crashes within
+# Weight of a crash as evidence against a stable call.  Crashes within
 # CLUSTER_WINDOW_MS count once, since simultaneous crashes of endpoints have
 # another cause.
 STABLE_CALL_WEIGHT = 0.5
 CLUSTER_WINDOW_MS = 1000
 # Weight of each additional crash within a group, and the maximum weight of a
-# group. A call may be sent to several endpoints of a failure domain that fails
-# as a whole.
+# group.  A call may be sent to several endpoints of a failure domain that
+# fails as a whole.
 ADDITIONAL_WEIGHT = 0.5
 MAX_GROUP_WEIGHT = 2.0
 
@@ -162,7 +162,7 @@
 
 
 def is_call_stable(ran_ms, answered_ms):
-    """Say whether a call had been running stably until it broke.
+    """Return whether a call had been running stably until it broke.
 
     :param ran_ms: milliseconds since it was sent.
     :param answered_ms: milliseconds since its response began.
@@ -182,10 +182,11 @@
 
 
 def make_sort_key(suspect, explained):
-    """Return the key by which crashes are attributed to requests.
+    """Return the key of a request for the attribution of crashes.
 
-    Among requests with the same crashes, the one with the shortest running
-    time comes first. The fingerprint makes the order the same on every host.
+    Crashes are attributed to the request with the highest key.  Among
+    requests with the same crashes, the one with the shortest running time has
+    the highest key.  The fingerprint makes the order the same on every host.
     """
     return (
         suspect.weigh(explained),
--- a/pearrun/decisions/lease.py
+++ b/pearrun/decisions/lease.py
@@ -1,11 +1,11 @@
 """The lease of the host that performs the cluster-wide duties.
 
 Load pattern: hosts are killed, frozen or partitioned, or lose responses of the
-store, while exactly one of them has to act. The lease is decided by a log: a
+store, while exactly one of them has to act.  The lease is decided by a log: a
 record is appended only at the offset up to which its writer has read, so two
-concurrent claims cannot both succeed. A holder acts until a fixed time after
-it *sent* its last acknowledged record. Another host claims the lease only
-after the log has been unchanged for longer than that by its own clock. The
+concurrent claims cannot both succeed.  A holder acts until a fixed time after
+it *sent* its last acknowledged record.  Another host claims the lease only
+after the log has been unchanged for longer than that by its own clock.  The
 clocks include suspended time, so a host that was frozen notices that its lease
 has expired.
 """
@@ -17,7 +17,7 @@
 LEASE_DURATION_MS = 2500
 # How often a holder renews; two renewals may fail before it has to stop.
 RENEW_INTERVAL_MS = 900
-# How long the log must be unchanged before another host claims. Longer than
+# How long the log must be unchanged before another host claims.  Longer than
 # the lease, so that a call sent at its end has arrived, and longer than the
 # period within which the duties must not alternate between hosts.
 TAKEOVER_DELAY_MS = 3800
@@ -39,8 +39,9 @@
     """A record of the lease log.
 
     :param run: host name and start time of the writer.
-    :param window: number of a usage window: that of ``counts``, or in a
-        renewal the last window that was agreed on before.
+    :param window: number of the usage window of ``counts``; in a renewal, of
+        the last committed window.
+    :param counts: final usage counts by customer.
     """
 
     kind: RecordKind
@@ -57,9 +58,12 @@
         claim.
 
     Times are in milliseconds of a clock that includes suspended time.
-    ``agreed_until`` is the last usage window that any holder agreed on, and
-    ``history_lost_ms`` the time at which this host found that the log had been
-    deleted.
+    ``end`` is the offset after the last known record.  ``committed_counts``
+    holds the usage counts that holders wrote to the log, by window.
+    ``last_committed_window`` is the number of the latest of these windows,
+    also of those whose record this host has not read; -1 if there is none.
+    ``history_lost_ms`` is the time at which this host found that the log had
+    been deleted.
     """
 
     def __init__(self, run, takeover_delay_ms=TAKEOVER_DELAY_MS):
@@ -70,10 +74,10 @@
         self.fencing = 0
         self.unchanged_since_ms = None
         self.valid_until_ms = None
-        self.reported = {}
+        self.committed_counts = {}
         self.announced_end = None
         self.announced_ms = None
-        self.agreed_until = -1
+        self.last_committed_window = -1
         self.history_lost_ms = None
 
     def apply(self, offset, record):
@@ -84,11 +88,15 @@
                 self.fencing = offset + 1
                 self.valid_until_ms = None
             case RecordKind.RENEW:
-                self.agreed_until = max(self.agreed_until, record.window)
+                self.last_committed_window = max(
+                    self.last_committed_window, record.window
+                )
             case RecordKind.USAGE:
                 if record.run == self.holder:
-                    self.reported[record.window] = record.counts
-                    self.agreed_until = max(self.agreed_until, record.window)
+                    self.committed_counts[record.window] = record.counts
+                    self.last_committed_window = max(
+                        self.last_committed_window, record.window
+                    )
         self.end = offset + 1
         self.unchanged_since_ms = None
 
@@ -102,7 +110,7 @@
         self.unchanged_since_ms = None
 
     def note_history_lost(self, now_ms):
-        """Record that the whole log is gone, with the agreed windows."""
+        """Record that the whole log is gone, with all committed counts."""
         self.history_lost_ms = now_ms
 
     def note_end(self, end, now_ms):
@@ -132,7 +140,7 @@
             self.announced_ms = now_ms
 
     def may_claim(self, now_ms):
-        """Say whether no other host can be acting any more."""
+        """Return whether no other host can be acting any more."""
         if self.end is None or self.unchanged_since_ms is None:
             return False
         if self.end == 0:
@@ -146,7 +154,7 @@
             self.valid_until_ms = sent_ms + LEASE_DURATION_MS
 
     def holds(self, now_ms):
-        """Say whether this host holds the lease and may act."""
+        """Return whether this host holds the lease and may act."""
         return (
             self.holder == self.run
             and self.valid_until_ms is not None
@@ -154,7 +162,7 @@
         )
 
     def should_renew(self, now_ms):
-        """Say whether the holder should renew its lease."""
+        """Return whether the holder should renew its lease."""
         if self.valid_until_ms is None:
             return False
         return (
--- a/pearrun/decisions/placement.py
+++ b/pearrun/decisions/placement.py
@@ -1,16 +1,17 @@
 """Placement: which endpoint a call is sent to.
 
 Load pattern: waves and bursts of short urgent prompts mixed with long ones,
-where prompts on the same subject share a long prefix. A prompt is sent to the
-endpoint with the least expected time to its first token. The estimate converts
-to milliseconds the prompt tokens queued there, the tokens of the prompt itself
-that are not cached there, and the calls running there. Rendezvous hashing
-gives all hosts the same preferred endpoint for a prefix that none of them has
-placed yet, so that it is processed only once without coordination.
-
-In a large fleet most placements of other hosts are reported too late. If each
+where prompts on the same subject share a long prefix.  A prompt is sent to
+the endpoint with the least expected time to its first token.  The estimate
+converts to milliseconds the prompt tokens queued there, the tokens of the
+prompt itself that are not cached there, and the calls running there.
+Rendezvous hashing gives all hosts the same preferred endpoint for a prefix
+that none of them has placed yet, so that it is processed only once without
+coordination.
+
+In a large fleet most placements of other hosts are reported too late.  If each
 host chose the endpoint with the least expected time, all would choose the same
-one until the next reports. Calls are therefore distributed randomly in
+one until the next reports.  Calls are therefore distributed randomly in
 proportion to the headroom that endpoints have for the expected placements of
 all hosts.
 """
@@ -32,7 +33,7 @@
     """Weights of the placement decision.
 
     :param per_call_ms: how much a running call delays the first token of
-        another. A batch step takes about 0.1 ms longer for each call, and a
+        another.  A batch step takes about 0.1 ms longer for each call, and a
         first token waits for several steps.
     :param cross_zone_ms: penalty for sending to another zone, for latency and
         price.
@@ -41,9 +42,9 @@
     :param affinity_tokens: prompts with a shared prefix of at least this many
         tokens stay with the endpoint that has it cached while that endpoint
         has headroom.
-    :param spread_factor: other calls are distributed over endpoints with
-        headroom for this many times the unreported placements of other hosts,
-        since these are uneven in size.
+    :param spread_factor: multiplier of the unreported load of other hosts
+        when other calls are distributed by headroom; above 1, since
+        placements are uneven in size.
     """
 
     per_call_ms: float = 1.0
@@ -61,7 +62,8 @@
     an instance of a frozen class takes three times as long.
 
     :param calls: calls of all hosts that run or wait there.
-    :param reading_tokens: prompt tokens of all hosts still to be processed.
+    :param queued_tokens: prompt tokens, of the calls of all hosts, that it
+        has yet to process.
     :param cached_tokens: prompt tokens of the call that are cached there.
     """
 
@@ -69,7 +71,7 @@
     same_zone: bool
     slots: int
     calls: int
-    reading_tokens: int = 0
+    queued_tokens: int = 0
     cached_tokens: int = 0
 
 
@@ -148,7 +150,7 @@
     calls = candidate.calls + unreported_calls
     queued = max(0, calls + 1 - candidate.slots)
     return (
-        model.predict_ms(candidate.reading_tokens + uncached)
+        model.predict_ms(candidate.queued_tokens + uncached)
         + candidate.calls * settings.per_call_ms
         + queued * demand.answer_ms / candidate.slots
     )
@@ -158,9 +160,10 @@
     """Choose an endpoint by the expected time to the first token.
 
     The endpoint with the least time is the best choice only if no other host
-    chooses it at the same time. With unreported load, the endpoint is drawn at
-    random instead. The probability of each is the share of that load which it
-    would get if all of it were placed so as to even out the expected times.
+    chooses it at the same time.  With unreported load, the endpoint is drawn
+    at random instead.  The probability of each is the share of that load
+    which it would get if all of it were placed so as to even out the expected
+    times.
 
     :param candidates: a list of :class:`Candidate`.
     :param model: the :class:`EngineModel` of their service.
@@ -196,7 +199,7 @@
 
     A call with a long shared prefix is sent to an endpoint that has the prefix
     cached and has headroom, otherwise to its preferred endpoint if that has
-    headroom. There are so many prefixes that these calls are distributed
+    headroom.  There are so many prefixes that these calls are distributed
     anyway.
 
     :param costs: a list of :class:`Cost`, the least first.
--- a/pearrun/decisions/prefixes.py
+++ b/pearrun/decisions/prefixes.py
@@ -1,7 +1,7 @@
 """Tracks which prompt parts are likely cached at which endpoint.
 
-Load pattern: calls on the same subject share a long prompt prefix. A host
-records which parts it sent to which endpoint. The entries expire, because an
+Load pattern: calls on the same subject share a long prompt prefix.  A host
+records which parts it sent to which endpoint.  The entries expire, because an
 endpoint evicts the least recently used parts.
 """
 
@@ -20,7 +20,7 @@
         self._used = collections.OrderedDict()
         self._by_part = {}
 
-    def note(self, endpoint_id, parts, now_ms):
+    def note_cached(self, endpoint_id, parts, now_ms):
         """Record that an endpoint has processed the shared prompt parts."""
         for part in parts:
             key = (part.id, endpoint_id)
@@ -51,7 +51,7 @@
         return cached
 
     def holds(self, endpoint_id, part_id):
-        """Say whether a part is recorded for an endpoint."""
+        """Return whether a part is recorded for an endpoint."""
         return (part_id, endpoint_id) in self._used
 
     def _forget_oldest(self):
--- a/pearrun/decisions/quarantine.py
+++ b/pearrun/decisions/quarantine.py
@@ -1,13 +1,13 @@
 """Quarantine of requests that crash endpoints.
 
 Load pattern: a request crashes every endpoint that starts to run it, and its
-caller keeps sending it again, through any host. Each crash also breaks the
-unrelated calls on the endpoint, many of them several times in a row. Endpoints
-also crash for other reasons, many at once.
+caller keeps sending it again, through any host.  Each crash also breaks the
+unrelated calls on the endpoint, many of them several times in a row.
+Endpoints also crash for other reasons, many at once.
 
 A request is quarantined if enough endpoints crashed while running it and none
 of its runs was answered shortly before, since a request that endpoints survive
-is not the cause. Each crash is attributed to a single request, the one with
+is not the cause.  Each crash is attributed to a single request, the one with
 the most crashes, so that calls that were running on the same endpoints by
 coincidence are not quarantined.
 """
@@ -24,14 +24,14 @@
 class QuarantineSettings:
     """Limits of the quarantine.
 
-    :param min_crashes: number of endpoints that must have crashed under a
-        request.
+    :param min_crashes: total weight of the crashes under a request from which
+        it is quarantined; see :meth:`Suspect.weigh`.
     :param trust_ms: time after a successful run during which crashes are not
         counted.
     :param quarantine_ms: duration of the quarantine, from the last crash.
-    :param retention_ms: time from the last crash until a request is forgotten;
-        between the end of the quarantine and then, a single crash renews the
-        quarantine.
+    :param retention_ms: time from the last crash until a request is
+        forgotten; until then, a single crash renews a quarantine that has
+        ended.
     :param max_suspects: maximum number of requests remembered.
     :param max_crashes: maximum number of crashes remembered for each request.
     :param unproven_ms: how long an unconfirmed crash counts; also the maximum
@@ -107,7 +107,7 @@
         return True
 
     def find_crash_ms(self, endpoint_id):
-        """Return when an endpoint crashed; ``None`` if it did not."""
+        """Return when an endpoint crashed; ``None`` if no crash is known."""
         return self._crashed_ms.get(endpoint_id)
 
     def retract_crash(self, endpoint_id, now_ms):
@@ -151,7 +151,7 @@
         self.quarantined = quarantined
 
     def is_proven(self, fingerprint):
-        """Say whether confirmed crashes alone justify a quarantine."""
+        """Return whether confirmed crashes alone justify a quarantine."""
         weight = self.suspects[fingerprint].weigh(include_unproven=False)
         return weight >= self.settings.min_crashes
 
--- a/pearrun/decisions/quota.py
+++ b/pearrun/decisions/quota.py
@@ -1,36 +1,35 @@
 """Enforces the quota of a customer across all hosts.
 
 Load pattern: one customer sends several times its limit, in calls of very
-unequal size, through hosts that see unequal parts of the traffic. Dividing the
-limit between the hosts would reject large calls below the limit. Instead, each
-host keeps the whole token bucket and subtracts what the other hosts report to
-have admitted. A reserve covers what they have admitted since their last
-reports. A host that stops reporting is assumed to continue at its last rate,
-so that partitioned hosts do not use the limit twice.
+unequal size, through hosts that see unequal parts of the traffic.  Dividing
+the limit between the hosts would reject large calls below the limit.
+Instead, each host keeps the whole token bucket and subtracts what the other
+hosts report to have admitted.  A reserve covers what they have admitted since
+their last reports.  A host that stops reporting is assumed to continue at its
+last rate, so that partitioned hosts do not use the limit twice.
 """
 
 import dataclasses
 
 # Age of a report at the time of use: the report period, its transmission and
-# the delay until the receiving host uses it. Through hubs, two more rounds are
-# added.
+# the delay until the receiving host uses it.  Through hubs, two more rounds
+# are added.
 MESH_LAG_S = 0.35
 HUB_LAG_S = 0.75
-# Fraction of the refill rate that is used with hubs. Many hosts that learn
+# Fraction of the refill rate that is used with hubs.  Many hosts that learn
 # late of what the others admit would all find the bucket full at the same time
 # and drain it again.
 HUB_REFILL_FACTOR = 0.92
 # Maximum fraction of the burst that is reserved for unreported usage of
 # others.
 MAX_RESERVED_SHARE = 0.7
-# A call of up to this fraction of the burst is small. Small calls take one or
-# two thousandths of it, the larger calls of a customer of a model some
+# A call of up to this fraction of the burst is small.  Typical small calls
+# take one or two thousandths of the burst, larger calls to models some
 # hundredths.
 SMALL_CALL_SHARE = 0.002
-# How far below the level at which larger calls are rejected small ones are
-# still admitted, as a fraction of the burst: slightly more than the other
-# hosts use in one report round. Rejecting small calls would free almost
-# nothing.
+# Small calls are still admitted this far below the level at which larger ones
+# are rejected, as a fraction of the burst: slightly more than the other hosts
+# use in one report round.  Rejecting small calls would free almost nothing.
 SMALL_CALL_OVERDRAFT_SHARE = 0.7
 # Debt is capped at this many seconds of the rate, so that an excess is
 # compensated within the window of a quota.
@@ -38,15 +37,15 @@
 # A host without reports for this long is assumed to continue at its last rate.
 REPORT_TIMEOUT_MS = 600
 # Initial level of a bucket as a fraction of this host's share of the burst,
-# since usage before its start is unknown. A lower level rejects calls of
+# since usage before its start is unknown.  A lower level rejects calls of
 # customers below their limits after a restart of all hosts.
 INITIAL_LEVEL_SHARE = 0.5
 # After its start, a host uses the share of the limit that corresponds to the
-# hosts it has heard from, times this factor. Otherwise hosts that were killed
-# at the same time would each use the whole limit.
+# hosts that have reported to it, times this factor.  Otherwise hosts that
+# were killed at the same time would each use the whole limit.
 STARTUP_FACTOR = 1.0
-# Until this age of its own, a host assumes that listed hosts which have not
-# reported are starting too. Links are up about a second after a start.
+# For this long after its start, a host assumes that listed hosts which have
+# not reported are starting too.  Links are up about a second after a start.
 STARTUP_MS = 5000
 # Share of the limit for a host that does not know the other hosts yet.
 UNKNOWN_MEMBERS_SHARE = 0.1
@@ -54,13 +53,13 @@
 # several hosts admit before they receive each other's reports.
 TOLERANCE_SHARE = 0.15
 # Half-life of the average rate that others assume while a host does not
-# report. Call sizes differ by a factor of a hundred, so an average over one
+# report.  Call sizes differ by a factor of a hundred, so an average over one
 # second would be too noisy.
 RATE_HALF_LIFE_S = 4.0
-# Length of the idle period with which an average starts. A large call is
+# Length of the idle period with which an average starts.  A large call is
 # reported at once; its units divided by the few milliseconds since the last
-# report would give a rate whose reserve blocks nearly all calls for a while. A
-# longer period would let the two sides of a partition use too much.
+# report would give a rate whose reserve blocks nearly all calls for a while.
+# A longer period would let the two sides of a partition use too much.
 INITIAL_IDLE_S = 1.3
 
 
@@ -94,10 +93,10 @@
     return rate * HUB_REFILL_FACTOR if through_hubs else rate
 
 
-def compute_startup_share(heard, others, listed, age_ms):
+def compute_startup_share(reporting, others, listed, age_ms):
     """Return the share of a limit that a host may use after its start.
 
-    :param heard: number of other hosts that have reported.
+    :param reporting: number of other hosts that have reported.
     :param others: number of other hosts in the membership list.
     :param listed: whether the membership list has been read.
     :param age_ms: time since the start of this host.
@@ -107,9 +106,9 @@
         return 1.0
     if not listed:
         return UNKNOWN_MEMBERS_SHARE
-    if heard >= others:
+    if reporting >= others:
         return 1.0
-    return min(1.0, STARTUP_FACTOR * (1 + heard) / (1 + others))
+    return min(1.0, STARTUP_FACTOR * (1 + reporting) / (1 + others))
 
 
 @dataclasses.dataclass
@@ -135,7 +134,7 @@
 class PeerUsage:
     """Usage of one customer as reported by another host.
 
-    :param base: its total when it was first heard.
+    :param base: the total at its first report, which is not counted here.
     :param total: units admitted since the start of that host.
     :param rate: recent units per second.
     :param assumed: units assumed to be used since its last report.
@@ -149,7 +148,7 @@
 
     @property
     def used(self):
-        """Units used since the host was first heard, as far as known."""
+        """Units used since its first report, including assumed ones."""
         return self.total - self.base + self.assumed
 
 
@@ -178,18 +177,18 @@
         min_level = -rate_per_s * MAX_DEBT_S
         self.level = max(min_level, min(burst, self.level))
 
-    def apply_report(self, peer, total, rate, now_ms, heard=False):
+    def apply_report(self, peer, total, rate, now_ms, has_reported=False):
         """Apply the report of another host.
 
         :param peer: the run of the host; a new run counts from zero.
         :param total: units that it admitted since its start.
-        :param heard: whether that host has reported before. If so, it had
-            admitted nothing for this customer until now.
+        :param has_reported: whether that host has reported before.  If so, it
+            had admitted nothing for this customer until now.
         """
         usage = self.peers.get(peer)
         if usage is None:
-            # What it admitted before it was first heard is not counted.
-            base = 0.0 if heard else total
+            # What it admitted before its first report is not counted.
+            base = 0.0 if has_reported else total
             usage = self.peers[peer] = PeerUsage(base=base, total=base)
         self.level -= (total - usage.total) - usage.assumed
         usage.total = total
@@ -208,13 +207,14 @@
     def take(self, units, burst, lag_s, settled=True):
         """Take units from the bucket if the call may be admitted.
 
+        A call larger than the remaining level is admitted and leaves a debt,
+        so that large calls of every size are treated alike.  Small calls are
+        still admitted while larger ones have to wait.
+
         :param lag_s: age of the reports of other hosts at the time of use.
         :param settled: whether this host may use its whole share of the limit;
             a host that has just started does not know what others admit.
-
-        A call larger than the remaining level is admitted and leaves a debt,
-        so that large calls of every size are treated alike. Small calls are
-        still admitted while larger ones have to wait.
+        :returns: whether the call is admitted.
         """
         shortfall = self.compute_shortfall(burst, lag_s)
         if settled and units <= burst * SMALL_CALL_SHARE:
--- a/pearrun/decisions/scaling.py
+++ b/pearrun/decisions/scaling.py
@@ -1,13 +1,13 @@
 """Scaling: how many endpoints to order, in which zones, of which kind.
 
-Load pattern: waves of demand on endpoints that are billed by the second. The
+Load pattern: waves of demand on endpoints that are billed by the second.  The
 platform reclaims all reclaimable endpoints of a zone with a few seconds'
-notice, often in several zones in succession, and then offers none for a while.
-A reclaimable (spot) endpoint costs less than a fifth of an on-demand one, so
-enough of them are ordered in each zone that losing any single zone leaves
-sufficient capacity. On-demand endpoints only cover the shortfall that the loss
-of one more zone would cause, and are released once reclaimable ones serve
-again.
+notice, often in several zones in succession, and then offers none for a
+while.  A reclaimable (spot) endpoint costs less than a fifth of an on-demand
+one, so enough of them are ordered in each zone that losing any single zone
+leaves sufficient capacity.  On-demand endpoints only cover the shortfall that
+the loss of one more zone would cause, and are released once reclaimable ones
+serve again.
 """
 
 import dataclasses
@@ -26,8 +26,9 @@
         the rest absorbs bursts and the uneven distribution of a wave.
     :param wait_share: fraction of the latency target that a call may wait on
         average for the prompts ahead of it, if each went to the endpoint with
-        the least work. Reports are up to 0.35 s old, so calls wait several
-        times as long, and a tenth of them three times longer still.
+        the least work.  Reports are up to 0.35 s old, so actual waits are
+        several times as long, and those of a tenth of the calls three times
+        longer still.
     :param max_prefill_share: maximum fraction of an endpoint's time spent on
         processing prompts; running calls generate their tokens in the rest.
     :param limit_units_per_endpoint: units per second of the customers' limits
@@ -173,7 +174,7 @@
 
     Serving endpoints are released only as far as the remaining ones suffice,
     because their replacements, in the same or another zone, do not serve until
-    they have booted. Zones with the most reclaimable endpoints release first,
+    they have booted.  Zones with the most reclaimable endpoints release first,
     since losing one of these zones costs the most.
 
     :param spare: number of serving endpoints beyond the need.
@@ -248,9 +249,9 @@
 def estimate_initial_count(limit_units, settings):
     """Return the number of endpoints before any load was observed.
 
-    Without it, a fleet that starts, or is taken over by another host, before
-    its load arrives would be reduced to the minimum and would have to boot
-    endpoints under the first wave.
+    Without this estimate, a fleet that starts, or is taken over by another
+    host, before its load arrives would be reduced to the minimum and would
+    have to boot endpoints under the first wave.
 
     :param limit_units: units per second that all customers may use.
     """
--- a/pearrun/decisions/topology.py
+++ b/pearrun/decisions/topology.py
@@ -1,13 +1,14 @@
 """Topology of the links on which hosts report to each other.
 
 Load pattern: several times per second, hosts report to each other what they
-placed where and what they admitted. In a small fleet each host reports to all
-others (full mesh). With n hosts that takes n * (n - 1) messages per round, too
-many for a large fleet, which therefore uses hubs in each zone. A host reports
-to the hubs of its zone; hubs exchange aggregates of their zones, and send the
-aggregates of all zones, including their own, to the hosts of their zone. There
-is no election: every host ranks the hosts of a zone by the same key and skips
-those that it cannot reach, and a host that is addressed as a hub acts as one.
+placed where and what they admitted.  In a small fleet each host reports to
+all others (full mesh).  With n hosts that takes n * (n - 1) messages per
+round, too many for a large fleet, which therefore uses hubs in each zone.  A
+host reports to the hubs of its zone; hubs exchange aggregates of their zones,
+and send the aggregates of all zones, including their own, to the hosts of
+their zone.  There is no election: every host ranks the hosts of a zone by the
+same key and skips those that it cannot reach, and a host that is addressed as
+a hub acts as one.
 
 In fleets of either size one host per zone reads the list of endpoints from the
 store for the others, because every call to the store has a cost.
--- a/pearrun/platform/daemon.py
+++ b/pearrun/platform/daemon.py
@@ -79,8 +79,8 @@
         self.reports = ReportReceiver(self.host, decode_configuration)
         self.reporter = Reporter(self.host, self.started_ms, self.reports)
         self.host.remove_host_reports = self.reports.remove_host
-        self.host.selection.tell_others = self.reporter.trigger_round
-        self.host.quarantine.tell_others = self.reporter.trigger_round
+        self.host.selection.notify_peers = self.reporter.trigger_round
+        self.host.quarantine.notify_peers = self.reporter.trigger_round
         self.duties = self.make_duties()
         self.members = MemberFollower(
             self.host, self.store, self.make_own_member(), self.holds_lease
--- a/pearrun/platform/followers.py
+++ b/pearrun/platform/followers.py
@@ -166,7 +166,7 @@
 
     async def _read_once(self):
         self.source = Source.STORE
-        if self.position is None or not self.host.feed.followed:
+        if self.position is None or not self.host.feed.has_reader:
             self.pause_ms = self.get_read_pause_ms()
             await super()._read_once()
             return
@@ -226,11 +226,11 @@
 
     def _mark_reachable(self):
         super()._mark_reachable()
-        self.host.config.followed = True
+        self.host.config.has_reader = True
 
     def _mark_unreachable(self, exc):
         super()._mark_unreachable(exc)
-        self.host.config.followed = False
+        self.host.config.has_reader = False
 
     def apply_snapshot(self, records, read_start_ms):
         """See :class:`Follower`."""
--- a/pearrun/platform/quarantinelog.py
+++ b/pearrun/platform/quarantinelog.py
@@ -50,7 +50,7 @@
     def _has_remote_reader(self):
         """Return whether another host of the zone reads and is heard."""
         feed = self.host.feed
-        return feed.followed and feed.is_reader_active()
+        return feed.has_reader and feed.is_reader_active()
 
     async def _wait_for_reader_loss(self):
         while self._has_remote_reader():
--- a/pearrun/platform/settings.py
+++ b/pearrun/platform/settings.py
@@ -69,7 +69,7 @@
         in force.
     :param lease_ms: milliseconds within which the duties must not alternate
         between two holders.
-    :param beat_ms: milliseconds between an endpoint's heartbeats.
+    :param heartbeat_ms: milliseconds between an endpoint's heartbeats.
     """
 
     name: HostName
@@ -90,7 +90,7 @@
     drain_ms: int
     config_ms: int
     lease_ms: int
-    beat_ms: int
+    heartbeat_ms: int
 
 
 def load(path=None):
@@ -151,7 +151,7 @@
         drain_ms=int(bounds.get('drain_ms', 2000)),
         config_ms=int(bounds.get('config_ms', 2000)),
         lease_ms=int(bounds.get('lease_ms', 3000)),
-        beat_ms=int(fields.get('beat_ms', DEFAULT_HEARTBEAT_MS)),
+        heartbeat_ms=int(fields.get('beat_ms', DEFAULT_HEARTBEAT_MS)),
     )
 
 
--- a/pearrun/relay/exchange.py
+++ b/pearrun/relay/exchange.py
@@ -224,7 +224,7 @@
         """
         if resume.last_event_id is None:
             waited_ms = self.host.clock.since(self.sent_ms)
-            self.host.selection.note_first(self.selected, waited_ms)
+            self.host.selection.note_first_token(self.selected, waited_ms)
 
     def _mark_prompt_read(self):
         if self.prompt_pending:
@@ -261,11 +261,11 @@
             if self.forwarding_since_ms is None
             else now - self.forwarding_since_ms
         )
-        ran_well = is_call_stable(ran_ms, answered_ms)
+        call_was_stable = is_call_stable(ran_ms, answered_ms)
         broken = BrokenCall(
-            self.call.fingerprint, ran_ms, now, ran_well, self.call.id
+            self.call.fingerprint, ran_ms, now, call_was_stable, self.call.id
         )
-        self.host.crash_check.note_broken(self.selected.endpoint, broken)
+        self.host.crash_probe.note_broken(self.selected.endpoint, broken)
 
     def _record_failure(self, refused=False, silent=False):
         endpoint = self.selected.endpoint
--- a/pearrun/shared/activeconfig.py
+++ b/pearrun/shared/activeconfig.py
@@ -6,10 +6,11 @@
 class ActiveConfig:
     """Holds the configuration in force; its version only increases.
 
-    ``confirmed_ms`` is the last time at which this version was known to
-    be the newest, from the store or from a peer that had read it there.
-    ``followed`` tells whether a long poll for a newer version is open at
-    the store.
+    ``confirmed_ms`` is the last time at which this version was known to be
+    the newest, from the store or from a peer that had read it there.
+    ``has_reader`` tells whether this host is reading new versions from the
+    store, where a long poll is then open.  ``listeners`` are called with each
+    configuration that is adopted.
     """
 
     def __init__(self, clock):
@@ -17,7 +18,7 @@
         self.current = None
         self.confirmed_ms = None
         self.listeners = []
-        self.followed = False
+        self.has_reader = False
 
     @property
     def version(self):
@@ -43,7 +44,7 @@
         If a long poll for a newer version was open then, no newer version
         existed.
         """
-        if self.followed:
+        if self.has_reader:
             self.confirm(at_ms)
 
     def offer(self, config, source):
--- a/pearrun/shared/configuration.py
+++ b/pearrun/shared/configuration.py
@@ -66,8 +66,8 @@
         on-demand ones together.
     :param largest: maximum number of endpoints in a zone, of both kinds.
     :param boot_ms: milliseconds until an ordered endpoint serves.
-    :param reclaimable_price: price of a reclaimable endpoint as a fraction
-        of the price of an on-demand one.
+    :param reclaimable_price: price of a reclaimable endpoint as a fraction of
+        the price of an on-demand one; ``None`` if none can be ordered.
     :param zone_prices: price of an endpoint per second, by zone.
     """
 
--- a/pearrun/shared/crashdetector.py
+++ b/pearrun/shared/crashdetector.py
@@ -29,7 +29,7 @@
 # A long poll that returns a heartbeat may have started this long before it;
 # reads are dated by their start.
 READ_LEAD_MS = 300
-# Older endpoint lists are taken to mean that the list cannot be read.
+# If the endpoint list is older than this, it counts as unreadable.
 LIST_STALE_MS = 2500
 # How long an outage and its broken calls are kept.
 EXPIRY_MS = 10_000
@@ -44,7 +44,8 @@
 
     :param ran_ms: milliseconds between sending the call and the break.
     :param at_ms: monotonic time of the break.
-    :param ran_well: see :func:`pearrun.decisions.evidence.is_call_stable`.
+    :param call_was_stable: see
+        :func:`pearrun.decisions.evidence.is_call_stable`.
     :param call_id: id of the call, shared by its attempts at several
         endpoints.
     """
@@ -52,7 +53,7 @@
     fingerprint: Fingerprint
     ran_ms: int
     at_ms: int
-    ran_well: bool = False
+    call_was_stable: bool = False
     call_id: RequestId = ''
 
 
@@ -64,7 +65,8 @@
     :param down_ms: when it was found to refuse connections; ``None`` if it
         was not.
     :param proven: whether the crash is confirmed.
-    :param reported: how many of the calls were reported as unproven.
+    :param reported_count: how many of the calls were reported before the
+        crash was proven.
     :param calls: the :class:`BrokenCall` objects.
     """
 
@@ -72,7 +74,7 @@
     begun_ms: int
     down_ms: int | None = None
     proven: bool = False
-    reported: int = 0
+    reported_count: int = 0
     calls: list = dataclasses.field(default_factory=list)
 
 
@@ -122,9 +124,11 @@
             outage.down_ms = self.clock.now()
             self._report(endpoint_id, outage)
 
-    def note_heard(self, endpoint_id, asked_ms):
+    def note_heartbeat(self, endpoint_id, asked_ms):
         """Record a heartbeat of an endpoint.
 
+        It rules out a crash if it was sent after the endpoint was found down.
+
         :param asked_ms: start of the read that returned the heartbeat.
         """
         outage = self._outages.get(endpoint_id)
@@ -219,12 +223,12 @@
         """
         if outage.down_ms is None:
             return
-        calls = outage.calls[outage.reported :]
+        calls = outage.calls[outage.reported_count :]
         if outage.proven:
             calls, outage.calls = outage.calls, []
-            outage.reported = 0
+            outage.reported_count = 0
         else:
-            outage.reported = len(outage.calls)
+            outage.reported_count = len(outage.calls)
         if not calls:
             return
         logger.bind(
@@ -240,12 +244,12 @@
 
 
 def make_crash(endpoint_id, outage, call):
-    """Return the :class:`Crash` that a broken call shows."""
+    """Return the :class:`Crash` for a broken call."""
     return Crash(
         endpoint_id,
         call.at_ms,
         call.ran_ms,
-        call.ran_well,
+        call.call_was_stable,
         call.call_id,
         outage.zone,
         outage.proven,
--- a/pearrun/shared/crashprobe.py
+++ b/pearrun/shared/crashprobe.py
@@ -5,8 +5,8 @@
 from pearrun import exceptions
 from pearrun.clock import to_seconds
 from pearrun.http1 import client
-from pearrun.shared.pools import CONNECT_MS
-from pearrun.shared.pools import SILENCE_MS
+from pearrun.shared.pools import CONNECT_TIMEOUT_MS
+from pearrun.shared.pools import TCP_USER_TIMEOUT_MS
 
 # A terminating process may close its connections before it stops listening,
 # so that one successful connect does not show that it is alive.
@@ -45,12 +45,14 @@
     """Return whether an address refuses connections.
 
     :param address: ``IP:PORT``.
-    :returns: ``False`` also if the address is unreachable: after a crash
-        the host would refuse the connection.
+    :returns: ``False`` also if the address is unreachable: after a crash of
+        the endpoint's process, its machine would refuse the connection.
     """
     try:
         for _ in range(PROBE_COUNT):
-            connection = await client.connect(address, CONNECT_MS, SILENCE_MS)
+            connection = await client.connect(
+                address, CONNECT_TIMEOUT_MS, TCP_USER_TIMEOUT_MS
+            )
             connection.abort()
             await asyncio.sleep(to_seconds(PROBE_INTERVAL_MS))
     except exceptions.EndpointDownError:
--- a/pearrun/shared/duties.py
+++ b/pearrun/shared/duties.py
@@ -18,10 +18,10 @@
 
 # Interval between checks of the lease and between runs of each duty.
 TICK_MS = 250
-# If the lease holder is not heard of for this long, which is three rounds of
-# reports, a host starts to monitor the lease log.  A successor can claim the
-# lease only seconds after that, and it must still report in time the usage
-# window that ended meanwhile.
+# If the lease holder has sent no notice for this long, which is three rounds
+# of reports, a host starts to monitor the lease log.  A successor can claim
+# the lease only seconds later, and must still report a usage window that
+# ended meanwhile in time.
 HOLDER_TIMEOUT_MS = 700
 # Pause after saving usage counts failed: the store may be unavailable.
 SAVE_RETRY_MS = 500
@@ -42,8 +42,8 @@
     :param host: shared objects of this host.
     :param lease_log: the :class:`LeaseLog`.
     :param calls: the :class:`DutyClient`.
-    :param reports: the :class:`ReportReceiver`, which knows when the holder
-        was last heard of.
+    :param reports: the :class:`ReportReceiver`, which knows the holder's
+        latest notice.
     :param scaler: the :class:`Scaler`, or ``None``.
     :param usage_log: the :class:`UsageLog`.
     """
@@ -51,7 +51,7 @@
     def __init__(self, host, lease_log, calls, reports, scaler, usage_log):
         self.host = host
         self.log = lease_log
-        self.usage_saver = UsageSaver(host.usage_board, usage_log)
+        self.usage_saver = UsageSaver(host.usage_table, usage_log)
         self.view = lease_log.view
         self.clock = host.clock
         self.calls = calls
@@ -104,7 +104,9 @@
         if self.view.holder == self.view.run and self.view.valid_until_ms:
             if self.view.should_renew(now):
                 await self.log.write(
-                    self._record(RecordKind.RENEW, self.view.agreed_until)
+                    self._record(
+                        RecordKind.RENEW, self.view.last_committed_window
+                    )
                 )
             self._log_lease_change()
             return
@@ -129,11 +131,11 @@
             self._log_lease_change()
 
     def _monitor_from_ms(self):
-        """Return when to start monitoring the log if no holder is heard.
+        """Return when to start monitoring the log without new notices.
 
         In a large fleet the hubs start first.  If all hosts read the log
-        after the holder is lost, each read costs, although only one host
-        takes over.
+        after the holder is lost, every read is charged, although only one
+        host takes over.
         """
         heard_ms = self.reports.get_last_duty_ms()
         is_delayed = self.host.feed.through_hubs and not self.reports.is_hub
@@ -184,7 +186,7 @@
             return
         try:
             await self.usage_saver.restore(term)
-            await self.usage_saver.save(self.view.agreed_until + 1)
+            await self.usage_saver.save(self.view.last_committed_window + 1)
         except exceptions.PearrunError as exc:
             logger.bind(code=exc.code).info(f'usage not saved: {exc.message}')
             await asyncio.sleep(to_seconds(SAVE_RETRY_MS))
@@ -194,8 +196,8 @@
         if term is None:
             return
         if self.usage_saver.term is term:
-            # Not before the counts that a former holder saved are restored:
-            # the report would lack them.
+            # Only after the counts that a former holder saved are restored:
+            # without them the report would be incomplete.
             await self._commit_usage()
         await self._deliver_usage(term)
 
@@ -212,14 +214,14 @@
         settings = self.host.settings.usage
         wall = self.host.time.wall()
         last = (wall - SETTLE_MS) // settings.window_ms - 1
-        board = self.host.usage_board
+        table = self.host.usage_table
         oldest = (
             last - (settings.due_ms + LATE_REPORT_MS) // settings.window_ms
         )
         for window in range(oldest, last + 1):
             if self._may_be_committed(window) or not self._has_counts(window):
                 continue
-            counts = board.total(window)
+            counts = table.total(window)
             for name in self.host.config.current.customers:
                 counts.setdefault(name, 0)
             await self.log.write(
@@ -232,7 +234,7 @@
         A second report with different counts is worse than no report.
         """
         view = self.view
-        if window <= view.agreed_until:
+        if window <= view.last_committed_window:
             return True
         if view.history_lost_ms is None:
             return False
@@ -244,13 +246,13 @@
 
     def _has_counts(self, window):
         """Return whether the known counts reach back to a window."""
-        windows = self.host.usage_board.windows
+        windows = self.host.usage_table.windows
         return bool(windows) and window >= min(windows)
 
     async def _deliver_usage(self, term):
         settings = self.host.settings.usage
         wall = self.host.time.wall()
-        for window, counts in sorted(self.view.reported.items()):
+        for window, counts in sorted(self.view.committed_counts.items()):
             end_ms = (window + 1) * settings.window_ms
             if wall > end_ms + settings.due_ms + LATE_REPORT_MS:
                 self.delivered.discard(window)
--- a/pearrun/shared/engines.py
+++ b/pearrun/shared/engines.py
@@ -14,7 +14,7 @@
         self.others = RunReports(clock, enginemodel.add_sums)
         self.own = {}
 
-    def note_first(self, service_name, tokens, waited_ms):
+    def note_first_token(self, service_name, tokens, waited_ms):
         """Update a service's model with a time to first token.
 
         Outliers are ignored.
@@ -35,7 +35,7 @@
     def find_by_service(self, service_name):
         """Return a service's :class:`EngineModel`.
 
-        Without any answers it consists of default values.
+        Without any samples it is the prior.
         """
         own = self.own.get(service_name, EMPTY_SUMS)
         others = self.others.sum().get(service_name, EMPTY_SUMS)
--- a/pearrun/shared/feed.py
+++ b/pearrun/shared/feed.py
@@ -41,7 +41,7 @@
 
     :param topic: the topic's name.
 
-    ``followed`` is true while another host reads for this host's zone,
+    ``has_reader`` is true while another host reads for this host's zone,
     ``through_hubs`` while its batches are relayed by hubs, and ``has_gap``
     if the last :meth:`wait` found changes missing before the next batch.
     """
@@ -50,7 +50,7 @@
         self.clock = clock
         self.topic = topic
         self.through_hubs = False
-        self.followed = False
+        self.has_reader = False
         self.has_gap = False
         self.last_batch_ms = None
         self._pending = []
@@ -66,8 +66,8 @@
     def repeat(self, changes):
         """Send the end offset of a read periodically until the next change.
 
-        It shows a host whose link was not up when a change was sent that it
-        has missed one.
+        From it, a host whose link was down when a change was sent learns that
+        it has missed the change.
 
         :param changes: the last :class:`Changes`; ``None`` to stop.
         """
@@ -108,7 +108,7 @@
         self._arrived.set()
 
     def is_reader_active(self):
-        """Say whether another host has sent a batch recently."""
+        """Return whether another host has sent a batch recently."""
         last_batch_ms = self.last_batch_ms
         return last_batch_ms is not None and (
             self.clock.since(last_batch_ms) < READER_TIMEOUT_MS
--- a/pearrun/shared/fleet.py
+++ b/pearrun/shared/fleet.py
@@ -52,11 +52,17 @@
 
 @dataclasses.dataclass
 class Endpoint:
-    """One endpoint and the calls that this host has sent to it."""
+    """One endpoint and the calls that this host has sent to it.
+
+    :param calls: calls in progress.
+    :param queued_tokens: prompt tokens of these calls that are not prefilled
+        yet.
+    :param failures: consecutive failed calls.
+    """
 
     record: EndpointRecord
     calls: int = 0
-    reading_tokens: int = 0
+    queued_tokens: int = 0
     failures: int = 0
     pause: Pause = dataclasses.field(default_factory=Pause)
 
@@ -79,7 +85,7 @@
         self._starts = collections.OrderedDict()
 
     def is_outdated(self, record):
-        """Say whether a later start than the record's is already known."""
+        """Return whether a later start than the record's is already known."""
         return record.started_ms < self._starts.get(record.name, 0)
 
     def find(self, name):
--- a/pearrun/shared/host.py
+++ b/pearrun/shared/host.py
@@ -39,9 +39,9 @@
         self.config = ActiveConfig(clock)
         self.fleet = Fleet()
         self.crashes = CrashDetector(
-            clock, self.fleet, settings.zone, settings.beat_ms
+            clock, self.fleet, settings.zone, settings.heartbeat_ms
         )
-        self.crash_check = CrashProbe(self.crashes)
+        self.crash_probe = CrashProbe(self.crashes)
         self.feed = Feed(clock)
         self.member_feed = Feed(clock, MEMBER_TOPIC)
         self.feeds = {
@@ -69,7 +69,7 @@
         )
         self.time = CorrectedClock(clock)
         self.usage = UsageCounts(self.time.wall, settings.usage.window_ms)
-        self.usage_board = UsageTable()
+        self.usage_table = UsageTable()
         self.remove_host_reports = lambda name: None
 
     def count_hosts(self):
@@ -77,7 +77,7 @@
         return self.members.count()
 
     def is_ready(self):
-        """Say whether this host accepts callers."""
+        """Return whether this host accepts callers."""
         return (
             not self.stopping
             and self.config.current is not None
@@ -95,7 +95,7 @@
         return None if listed_ms is None else now_ms - listed_ms
 
     def awaits_heartbeats(self):
-        """Say whether a heartbeat may refute a suspected endpoint crash."""
+        """Return whether a heartbeat may refute a suspected endpoint crash."""
         return self.crashes.has_outages() or bool(
             self.quarantine.known.suspects
         )
@@ -106,8 +106,8 @@
         :param asked_ms: when the store read that returned the heartbeat was
             sent.
         """
-        self.crashes.note_heard(endpoint_id, asked_ms)
-        self.quarantine.note_heard(endpoint_id, asked_ms)
+        self.crashes.note_heartbeat(endpoint_id, asked_ms)
+        self.quarantine.note_heartbeat(endpoint_id, asked_ms)
 
     def drop_endpoint(self, endpoint, reason):
         """Remove an endpoint that has left, and its connections."""
--- a/pearrun/shared/loads.py
+++ b/pearrun/shared/loads.py
@@ -10,12 +10,12 @@
     """Load on one endpoint.
 
     :param calls: calls in progress.
-    :param reading_tokens: prompt tokens of these calls that are not
+    :param queued_tokens: prompt tokens of these calls that are not
         prefilled yet.
     """
 
     calls: int = 0
-    reading_tokens: int = 0
+    queued_tokens: int = 0
 
 
 NO_LOAD = Load()
@@ -46,6 +46,6 @@
                 continue
             sums[endpoint_id] = Load(
                 known.calls + load.calls,
-                known.reading_tokens + load.reading_tokens,
+                known.queued_tokens + load.queued_tokens,
             )
     return sums
--- a/pearrun/shared/members.py
+++ b/pearrun/shared/members.py
@@ -29,9 +29,9 @@
     """All entry hosts, as registered on the store.
 
     ``changes`` counts the changes of the list; ``listed`` says whether the
-    list has been read.  ``heard`` holds the names of hosts from which a
+    list has been read.  ``reporting`` holds the names of hosts from which a
     report was received and whose process is not known to have ended since.
-    ``last_heard_ms`` holds, by host, the time of its last report or
+    ``last_seen_ms`` holds, by host, the time of its last report or
     registration.  ``remote_zone_counts`` holds, by other zone, the number
     of hosts that the zone's hub receives reports from.
     """
@@ -42,20 +42,20 @@
         self.members = {}
         self.changes = 0
         self.listed = False
-        self.heard = set()
-        self.last_heard_ms = {}
+        self.reporting = set()
+        self.last_seen_ms = {}
         self.remote_zone_counts = {}
 
     def put(self, member):
         """Add a host, or replace its entry by a newer one."""
         self.changes += self.members.get(member.name) != member
         self.members[member.name] = member
-        self.last_heard_ms[member.name] = self.clock.now()
+        self.last_seen_ms[member.name] = self.clock.now()
 
-    def note_heard(self, name):
+    def note_report(self, name):
         """Record that a report from a host was received."""
-        self.heard.add(name)
-        self.last_heard_ms[name] = self.clock.now()
+        self.reporting.add(name)
+        self.last_seen_ms[name] = self.clock.now()
 
     def list_silent(self, silent_ms):
         """Return the other hosts that have not reported for some time.
@@ -66,7 +66,7 @@
         silent = [
             member.name
             for member in self.others()
-            if self.clock.since(self.last_heard_ms[member.name]) > silent_ms
+            if self.clock.since(self.last_seen_ms[member.name]) > silent_ms
         ]
         if len(silent) * 2 > len(self.others()):
             return []
@@ -77,8 +77,8 @@
 
         :returns: its :class:`Member`, or ``None`` if it was unknown.
         """
-        self.heard.discard(name)
-        self.last_heard_ms.pop(name, None)
+        self.reporting.discard(name)
+        self.last_seen_ms.pop(name, None)
         self.changes += name in self.members
         return self.members.pop(name, None)
 
@@ -90,22 +90,22 @@
             if member.name != self.own_name
         ]
 
-    def count_heard(self):
+    def count_reporting(self):
         """Return how many of the other hosts have reported.
 
         Hosts of other zones may be counted by a hub of their zone.
         """
-        direct = self.heard & set(self.members)
+        direct = self.reporting & set(self.members)
         count = sum(
             self.members[name].zone not in self.remote_zone_counts
             for name in direct
         )
         return count + sum(self.remote_zone_counts.values())
 
-    def count_heard_in(self, zone):
+    def count_reporting_in(self, zone):
         """Return how many of the other hosts of a zone have reported."""
         return sum(
-            member.zone == zone and member.name in self.heard
+            member.zone == zone and member.name in self.reporting
             for member in self.others()
         )
 
--- a/pearrun/shared/ownreports.py
+++ b/pearrun/shared/ownreports.py
@@ -60,7 +60,7 @@
             sums,
             loads=subtract_loads(sums.loads, own.loads),
             demands=subtract_demands(sums.demands, own.demands),
-            engines=subtract_lines(sums.engines, own.engines),
+            engines=subtract_engine_sums(sums.engines, own.engines),
             admitted=admitted,
         )
 
@@ -106,7 +106,7 @@
             continue
         calls = known.calls - load.calls
         if calls > 0:
-            tokens = max(0, known.reading_tokens - load.reading_tokens)
+            tokens = max(0, known.queued_tokens - load.queued_tokens)
             rest[endpoint_id] = Load(calls, tokens)
     return rest
 
@@ -126,14 +126,14 @@
     return rest
 
 
-def subtract_lines(sums, own):
+def subtract_engine_sums(sums, own):
     """Subtract own :class:`RegressionSums` by service."""
     rest = dict(sums)
-    for name, lines in own.items():
+    for name, own_sums in own.items():
         known = rest.get(name)
         if known is None:
             continue
-        others = known.combine(lines.scale(-1.0))
+        others = known.combine(own_sums.scale(-1.0))
         if others.weight > 0:
             rest[name] = others
         else:
--- a/pearrun/shared/peerlinks.py
+++ b/pearrun/shared/peerlinks.py
@@ -35,8 +35,8 @@
 # Larger messages are rejected as invalid.
 MAX_MESSAGE_BYTES = 1024 * 1024
 # A host that could not be reached is excluded as a hub for this long.  The
-# period is doubled each time and ends early if the host is restarted: ended
-# processes are back in a second or two, lost hosts never.
+# period is doubled each time and ends early if the host is restarted: a
+# restarted process is back in a second or two, a lost host never.
 MIN_DOWN_MS = 3000
 MAX_DOWN_MS = 60_000
 # For this long after its own start a host assumes that unreachable peers are
@@ -147,7 +147,7 @@
         self.reporter.plan = plan
         self.receiver.is_hub = plan.is_hub
         self.host.feed.through_hubs = not plan.mesh
-        self.host.feed.followed = not plan.is_reader
+        self.host.feed.has_reader = not plan.is_reader
         roles = (plan.mesh, plan.is_hub, plan.is_reader)
         if roles != self.roles:
             self.roles = roles
@@ -229,7 +229,7 @@
                 await link.send(self.reporter.bundle(messages))
 
     def _needs_config(self, member):
-        """Say whether to send this host's configuration to a peer now.
+        """Return whether to send this host's configuration to a peer now.
 
         A peer that reaches the store reads a new version itself.  A copy is
         sent only to one that still has an older version after
--- a/pearrun/shared/pools.py
+++ b/pearrun/shared/pools.py
@@ -6,13 +6,13 @@
 # The round trip to an endpoint takes less than 1 ms, or 1 to 3 ms across
 # zones.  A lost SYN is retransmitted only after 1 s; trying another endpoint
 # is faster.
-CONNECT_MS = 200
+CONNECT_TIMEOUT_MS = 200
 # A request whose bytes stay unacknowledged for this long is considered not
 # delivered.  TCP retransmits lost segments after 200 ms and then 400 ms, so
 # two losses in a row are treated as a broken path.  With this value, calls
 # that may be retried reach another endpoint within their latency target when
 # a path breaks; 1,200 ms reduced the credit served over four days by 1.0%.
-SILENCE_MS = 450
+TCP_USER_TIMEOUT_MS = 450
 # Fraction of an endpoint's connection limit that all hosts together may use;
 # the rest is reserved for new hosts and for connections being closed.
 USED_SHARE = 0.8
@@ -38,7 +38,9 @@
         if pool is None:
             shared = service.max_connections * USED_SHARE
             limit = max(2, int(shared / max(1, self.count_hosts())))
-            settings = PoolSettings(limit, CONNECT_MS, SILENCE_MS)
+            settings = PoolSettings(
+                limit, CONNECT_TIMEOUT_MS, TCP_USER_TIMEOUT_MS
+            )
             pool = self._pools[record.id] = Pool(record.address, settings)
         return pool
 
--- a/pearrun/shared/quarantine.py
+++ b/pearrun/shared/quarantine.py
@@ -37,13 +37,16 @@
     """Collects crashes and answers, and decides which calls to refuse.
 
     A call may be any object with a ``fingerprint`` attribute.
+
+    ``notify_peers`` is called to report new crashes to the other hosts
+    immediately.
     """
 
     def __init__(self, clock):
         self.clock = clock
         self.known = Suspects()
         self.refused = 0
-        self.tell_others = lambda: None
+        self.notify_peers = lambda: None
         self._answered = collections.OrderedDict()
         self._local = set()
         self._pending = set()
@@ -52,7 +55,7 @@
         self._saved_ms = {}
 
     def left_ms(self, call):
-        """Return the remaining quarantine of a call; 0 if there is none.
+        """Return how long a call stays quarantined; 0 if it is not.
 
         While nothing is quarantined, the fingerprint of the call is not
         accessed.
@@ -87,12 +90,12 @@
                 self._pending.add(fingerprint)
         self._update_quarantine('own calls')
         if self._pending:
-            self.tell_others()
+            self.notify_peers()
 
-    def note_heard(self, endpoint_id, asked_ms):
+    def note_heartbeat(self, endpoint_id, asked_ms):
         """Record a heartbeat of an endpoint.
 
-        See :meth:`CrashDetector.note_heard`.
+        See :meth:`CrashDetector.note_heartbeat`.
         """
         crashed_ms = self.known.find_crash_ms(endpoint_id)
         if crashed_ms is not None and asked_ms >= crashed_ms + READ_MARGIN_MS:
--- a/pearrun/shared/quotas.py
+++ b/pearrun/shared/quotas.py
@@ -100,13 +100,15 @@
             return
         now = self.clock.now()
         share = self._compute_share(now)
-        heard = run in self._reported_runs
+        has_reported = run in self._reported_runs
         self._reported_runs.add(run)
         for name, use in admitted.items():
             customer = self.config.current.customers.get(name)
             if customer is not None and customer.rate_per_s > 0:
                 bucket = self._refill_bucket(customer, now, share)
-                bucket.apply_report(run, use.total, use.rate, now, heard)
+                bucket.apply_report(
+                    run, use.total, use.rate, now, has_reported
+                )
 
     def remove(self, run):
         """Remove a run that has ended, keeping its units in zone totals."""
@@ -121,7 +123,7 @@
         """Return what the hosts of a zone admitted, as known on this host.
 
         Hosts that send no reports are assumed to admit units at their last
-        rate, as they are in this host's own buckets.
+        rate, as in this host's own buckets.
 
         :param own: this host's own :class:`AdmittedUnits` by customer.
         :returns: :class:`AdmittedUnits` by customer.  Units admitted before
@@ -177,7 +179,10 @@
             return 1.0
         members = self.members
         share = quota.compute_startup_share(
-            members.count_heard(), members.count() - 1, members.listed, age_ms
+            members.count_reporting(),
+            members.count() - 1,
+            members.listed,
+            age_ms,
         )
         self._has_full_share = members.listed and share >= 1.0
         return share
--- a/pearrun/shared/reporter.py
+++ b/pearrun/shared/reporter.py
@@ -8,15 +8,15 @@
 from pearrun.shared.loads import Load
 from pearrun.shared.run import Run
 
-# Usage windows in each note: the latest ones may still change.
+# Number of latest usage windows in each note; their counts may still change.
 REPORTED_USAGE_WINDOWS = 3
 # Interval of the rounds, unless one is triggered earlier.  With older loads,
 # hosts place several calls on one endpoint; shorter intervals take more
 # processor time on all receiving hosts.
 ROUND_MS = 200
-# The same during the time after a start: until a host has received the reports
-# of the others, which takes three rounds through hubs, it may use only a small
-# part of each customer's limit.
+# The same during the first ``STARTUP_MS`` after a start: until a host has
+# received the reports of the others, which takes three rounds through hubs,
+# it may use only a small part of each customer's limit.
 STARTUP_ROUND_MS = 50
 STARTUP_MS = 2000
 # Maximum fraction of a host's link speed that its rounds may use.  Otherwise a
@@ -88,9 +88,9 @@
         """
         while True:
             await self._wait_until_due()
-            # The check may trigger a round.  Its results belong to this one:
-            # a round created right after it would replace it before the links
-            # have sent it.
+            # The check may trigger another round, but its results are sent in
+            # this one.  A round created right afterwards would replace this
+            # one before the links have sent it.
             self.host.crashes.check()
             self._triggered.clear()
             self._bundles = {}
@@ -174,7 +174,7 @@
             await asyncio.sleep(to_seconds(left_ms))
 
     def _transmit_ms(self):
-        """Return how long this host's link transmits the last round."""
+        """Return how long this host's link takes to send the last round."""
         link_mbps = self.host.settings.link_mbps * LINK_SHARE
         if not link_mbps:
             return 0
@@ -237,7 +237,7 @@
             windows = sorted(usage.windows)[-REPORTED_USAGE_WINDOWS:]
             counts = {window: usage.windows[window] for window in windows}
             run = self.own_run
-            self.host.usage_board.put(run.host, run.started_ms, counts)
+            self.host.usage_table.put(run.host, run.started_ms, counts)
             encoded = reports.encode(reports.UsageNote(run, counts))
             self._usage = (usage.changes, encoded)
         return encoded
@@ -278,7 +278,7 @@
     def _collect_own_loads(self):
         """Return this host's :class:`Load` by endpoint id."""
         return {
-            endpoint.id: Load(endpoint.calls, endpoint.reading_tokens)
+            endpoint.id: Load(endpoint.calls, endpoint.queued_tokens)
             for endpoint in self.host.fleet.endpoints.values()
             if endpoint.calls
         }
@@ -290,7 +290,7 @@
         placed = (*own.placed, *zone_placed)
         report = self._make_report(
             self.zone_run,
-            1 + host.members.count_heard_in(zone),
+            1 + host.members.count_reporting_in(zone),
             host.loads.sum_zone(zone, own.loads),
             host.quotas.sum_zone(zone, own.admitted),
             placed,
--- a/pearrun/shared/reportreceiver.py
+++ b/pearrun/shared/reportreceiver.py
@@ -85,8 +85,8 @@
                 case reports.Coverage(hub, numbers):
                     self._apply_coverage(hub, numbers)
                 case reports.UsageNote(run, counts):
-                    self.host.members.note_heard(run.host)
-                    self.host.usage_board.put(run.host, run.started_ms, counts)
+                    self.host.members.note_report(run.host)
+                    self.host.usage_table.put(run.host, run.started_ms, counts)
                 case reports.TopicFeed():
                     self._apply_feed(message)
                 case reports.HostEnded(name):
@@ -122,8 +122,8 @@
         """Apply a hub's sums for its zone."""
         run = report.run
         if report.duty is not None:
-            # Also if another hub's sums are used: the lease holder must not
-            # appear lost while the zone's hub changes.
+            # Recorded even if another hub's sums are used: the lease holder
+            # must not appear lost while the zone's hub changes.
             self._record_duty(report.duty, self.clock.now())
         if not self._select_hub(run):
             return
@@ -143,7 +143,7 @@
         self._coverage = {hub: numbers}
         for name in numbers:
             if name != self.host.settings.name:
-                self.host.members.note_heard(name)
+                self.host.members.note_report(name)
 
     def _find_covered(self, hub):
         """Return the number of the own report that a hub's sums include.
@@ -161,13 +161,13 @@
         In a forwarded report it would be several rounds old.
         """
         if report.run.host == bundle.sender:
-            self.host.members.note_heard(bundle.sender)
+            self.host.members.note_report(bundle.sender)
             self.host.time.put_report(bundle.sender, report.wall_ms)
 
     def _record_host(self, report, bundle):
         """Record the parts of a host's own report that sums do not have."""
         name = report.run.host
-        self.host.members.note_heard(name)
+        self.host.members.note_report(name)
         self.config_versions[name] = report.config_version
         is_client = name == bundle.sender and not bundle.from_hub
         if is_client and report.run.zone == self.host.settings.zone:
@@ -192,7 +192,7 @@
             self._zone_placements.extend(report.placed)
         for placed in report.placed:
             parts = [PromptPart(part_id, 0) for part_id in placed.part_ids]
-            host.selection.prefixes.note(placed.endpoint_id, parts, now)
+            host.selection.prefixes.note_cached(placed.endpoint_id, parts, now)
 
     def _record_duty(self, notice, now):
         """Record a notice of the lease and when its holder created it.
@@ -207,7 +207,7 @@
             self.duty_notices[notice.holder] = (created_ms, notice)
 
     def _select_hub(self, run):
-        """Say whether to use a hub's sums, and record it as its zone's hub.
+        """Return whether to use a hub's sums, and record it as its zone's hub.
 
         Several hubs compute the sums of a zone, of which one is used at a
         time.  A hub computes the sums of its own zone itself.
@@ -227,7 +227,7 @@
         return True
 
     def _is_summed(self, zone):
-        """Say whether a hub's sums are used instead of a zone's reports.
+        """Return whether a hub's sums are used instead of a zone's reports.
 
         The sums of a hub that has timed out are dropped: in a fleet that has
         become small, the zone's hosts send their reports directly.
@@ -320,13 +320,13 @@
         return dataclasses.replace(notice, age_ms=now - latest_ms)
 
     def is_used_as_hub(self):
-        """Say whether other hosts of the zone use this one as a hub."""
+        """Return whether other hosts of the zone use this one as a hub."""
         if self._client_report_ms is None:
             return False
         return self.clock.since(self._client_report_ms) < HUB_ROLE_MS
 
     def acts_as_hub(self, name):
-        """Say whether another host has recently declared itself a hub."""
+        """Return whether another host has recently declared itself a hub."""
         latest_ms = self._hub_senders_ms.get(name)
         return (
             latest_ms is not None and self.clock.since(latest_ms) < HUB_ROLE_MS
@@ -377,8 +377,8 @@
         self._remove_runs(name)
 
     def _remove_runs(self, name):
-        """Remove the state received from a host itself, except as a hub."""
-        self.host.members.heard.discard(name)
+        """Remove a host's own reports; sums that it sent as a hub stay."""
+        self.host.members.reporting.discard(name)
         self.host.time.remove(name)
         self.config_versions.pop(name, None)
         self.duty_notices.pop(name, None)
--- a/pearrun/shared/reports.py
+++ b/pearrun/shared/reports.py
@@ -35,7 +35,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class DutyNotice:
-    """Notice that a host holds the lease on the duties.
+    """Notice that a host holds the lease for the cluster-wide duties.
 
     :param fencing: its fencing token.
     :param log_end: end offset of the lease log after its last record.
@@ -267,7 +267,7 @@
         report.config_version,
         report.config_age_ms,
         {
-            endpoint_id: [load.calls, load.reading_tokens]
+            endpoint_id: [load.calls, load.queued_tokens]
             for endpoint_id, load in report.loads.items()
         },
         {
--- a/pearrun/shared/scaler.py
+++ b/pearrun/shared/scaler.py
@@ -69,7 +69,8 @@
         self.planned_ms = now
         for service in self._list_scaled_services():
             if service.name not in self.need_history:
-                # Configured since the needs were last recorded.
+                # Added to the configuration after the needs were last
+                # recorded.
                 continue
             orders = self._plan(service, now)
             # Concurrently: the platform may take a second for each.
--- a/pearrun/shared/selection.py
+++ b/pearrun/shared/selection.py
@@ -12,7 +12,7 @@
 # Prompts with at least this many uncached tokens trigger a report to the other
 # hosts: the prefill takes a large part of a report interval, in which the
 # others would queue short calls behind it.
-LARGE_TOKENS = 4000
+LARGE_PROMPT_TOKENS = 4000
 # Mean age of other hosts' reports when they are used in a fleet with hubs: the
 # rounds of the reporting host and of two hubs.
 HUB_REPORT_AGE_MS = 400
@@ -24,7 +24,8 @@
 
     :param expected_ms: expected time to first token.
     :param uncached_tokens: prompt tokens that the endpoint has to prefill.
-    :param reading_tokens: tokens of other calls that it prefills before.
+    :param queued_tokens: prompt tokens of other calls that it has to prefill
+        first.
     :param queued_ms: ``expected_ms`` without the prefill of the call's own
         prompt.
     """
@@ -32,7 +33,7 @@
     endpoint: Endpoint
     expected_ms: float
     uncached_tokens: int
-    reading_tokens: int
+    queued_tokens: int
     queued_ms: float
 
 
@@ -47,7 +48,7 @@
         the calls of other hosts.
     :param feed: the :class:`Feed`; says whether the hosts use hubs.
 
-    ``tell_others`` is called to report a large prompt to the other hosts
+    ``notify_peers`` is called to report a large prompt to the other hosts
     immediately.
     """
 
@@ -62,7 +63,7 @@
         self.prefixes = PrefixIndex()
         self._placements = []
         self.zones = {}
-        self.tell_others = lambda: None
+        self.notify_peers = lambda: None
         self.settings = placement.PlacementSettings()
 
     def choose(self, call, service, tried):
@@ -87,7 +88,9 @@
             call.prompt.tokens, affinity, shared_tokens, answer_ms
         )
         model = self.engines.find_by_service(service.name)
-        unreported = self._estimate_unseen(service.name, answer_ms, model)
+        unreported = self._estimate_unreported_load(
+            service.name, answer_ms, model
+        )
         best, expected_ms = placement.choose(
             candidates, demand, model, self.settings, unreported
         )
@@ -99,27 +102,27 @@
         uncached = max(0, call.prompt.tokens - best.cached_tokens)
         queued_ms = expected_ms - uncached / model.tokens_per_ms
         return Selected(
-            endpoint, expected_ms, uncached, best.reading_tokens, queued_ms
+            endpoint, expected_ms, uncached, best.queued_tokens, queued_ms
         )
 
     def begin(self, selected, call):
         """Record that a call is being sent to the selected endpoint."""
         now = self.clock.now()
         selected.endpoint.calls += 1
-        selected.endpoint.reading_tokens += selected.uncached_tokens
+        selected.endpoint.queued_tokens += selected.uncached_tokens
         shared = call.prompt.parts[:-1]
         if shared:
-            self.prefixes.note(selected.endpoint.id, shared, now)
+            self.prefixes.note_cached(selected.endpoint.id, shared, now)
             self._record_placement(selected.endpoint.id, shared)
-        if selected.uncached_tokens >= LARGE_TOKENS:
-            self.tell_others()
+        if selected.uncached_tokens >= LARGE_PROMPT_TOKENS:
+            self.notify_peers()
 
     def _record_placement(self, endpoint_id, shared):
         """Queue a prompt placement for the next report.
 
-        In a fleet with hubs, only shared prefixes long enough to determine
-        the choice of an endpoint: shorter ones belong to most calls and would
-        fill the reports.
+        In a fleet with hubs, only shared prefixes that are long enough to
+        determine the choice of an endpoint are reported: shorter ones belong
+        to most calls and would fill the reports.
         """
         tokens = sum(part.tokens for part in shared)
         if self.feed.through_hubs and tokens < self.settings.affinity_tokens:
@@ -127,7 +130,7 @@
         part_ids = tuple(part.id for part in shared)
         self._placements.append(PromptPlacement(endpoint_id, part_ids))
 
-    def _estimate_unseen(self, service_name, answer_ms, model):
+    def _estimate_unreported_load(self, service_name, answer_ms, model):
         """Estimate the calls that other hosts sent since their reports."""
         others = self.demands.others.sum().get(service_name)
         if others is None or not self.feed.through_hubs:
@@ -147,17 +150,17 @@
 
     def end_prefill(self, selected):
         """Record the first token of a call, which ends its prefill."""
-        selected.endpoint.reading_tokens -= selected.uncached_tokens
+        selected.endpoint.queued_tokens -= selected.uncached_tokens
 
     def end(self, selected):
         """Record that a call has ended."""
         selected.endpoint.calls -= 1
 
-    def note_first(self, selected, waited_ms):
+    def note_first_token(self, selected, waited_ms):
         """Update the engine model with a call's time to first token."""
         service_name = selected.endpoint.record.service
-        tokens = selected.uncached_tokens + selected.reading_tokens
-        self.engines.note_first(service_name, tokens, waited_ms)
+        tokens = selected.uncached_tokens + selected.queued_tokens
+        self.engines.note_first_token(service_name, tokens, waited_ms)
 
     def note_answer(self, endpoint):
         """Record any answer from an endpoint, including an error."""
@@ -216,7 +219,7 @@
                     record.zone == self.zone,
                     record.slots,
                     endpoint.calls + others.calls,
-                    endpoint.reading_tokens + others.reading_tokens,
+                    endpoint.queued_tokens + others.queued_tokens,
                     cached.get(record.id, 0),
                 )
             )
--- a/pearrun/shared/suspects.py
+++ b/pearrun/shared/suspects.py
@@ -37,7 +37,9 @@
     return Suspect(str(fingerprint), by_endpoint, answered_ms)
 
 
-def decode_crash(endpoint_id, at_ms, ran_ms, ran_well, call_id, zone, proven):
+def decode_crash(
+    endpoint_id, at_ms, ran_ms, call_was_stable, call_id, zone, proven
+):
     """Return a :class:`Crash` after converting its fields.
 
     :raises ValueError: a field is malformed.
@@ -47,7 +49,7 @@
         str(endpoint_id),
         int(at_ms),
         int(ran_ms),
-        bool(ran_well),
+        bool(call_was_stable),
         str(call_id),
         str(zone),
         bool(proven),
--- a/tests/crashes.py
+++ b/tests/crashes.py
@@ -49,7 +49,7 @@
         members = daemon.host.members
         await wait_until(
             lambda members=members: (
-                members.count_heard() == len(site.hosts) - 1
+                members.count_reporting() == len(site.hosts) - 1
             )
         )
 
--- a/tests/test_crashes.py
+++ b/tests/test_crashes.py
@@ -69,7 +69,7 @@
         """
         self.clock.now_ms += wait_ms
         if heard:
-            self.crashes.note_heard('e', self.clock.now())
+            self.crashes.note_heartbeat('e', self.clock.now())
         if listed:
             self.fleet.listed_ms = self.clock.now()
         self.crashes.check()
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -239,11 +239,11 @@
 def test_prefix_index_counts_leading_parts_and_expires_entries():
     index = PrefixIndex()
     parts = (PromptPart('a', 100), PromptPart('b', 50))
-    index.note('x', parts[1:], 0)
+    index.note_cached('x', parts[1:], 0)
     assert index.find_cached(parts, 0) == {}
-    index.note('x', parts, 0)
+    index.note_cached('x', parts, 0)
     assert index.find_cached(parts, 0) == {'x': 150}
-    index.note('y', parts[:1], 1)
+    index.note_cached('y', parts[:1], 1)
     assert index.find_cached(parts, 1) == {'x': 150, 'y': 100}
     assert index.find_cached(parts, ENTRY_TTL_MS + 1) == {'y': 100}
 
@@ -251,9 +251,9 @@
 def test_prefix_index_evicts_least_recently_used_parts():
     index = PrefixIndex()
     parts = [PromptPart(f'p{number}', 1) for number in range(MAX_ENTRIES)]
-    index.note('x', parts, 0)
-    index.note('x', parts[:1], 1)
-    index.note('y', parts[:1], 2)
+    index.note_cached('x', parts, 0)
+    index.note_cached('x', parts[:1], 1)
+    index.note_cached('y', parts[:1], 2)
     assert index.holds('x', 'p0')
     assert index.holds('y', 'p0')
     assert not index.holds('x', 'p1')
--- a/tests/test_demand.py
+++ b/tests/test_demand.py
@@ -32,7 +32,7 @@
         waited_ms = base_ms + tokens / tokens_per_ms * rng.uniform(0.8, 1.2)
         if rng.random() < outlier_share:
             waited_ms += rng.uniform(2000, 8000)
-        engines.note_first('s', tokens, waited_ms)
+        engines.note_first_token('s', tokens, waited_ms)
     return engines
 
 
@@ -53,7 +53,7 @@
     rng = random.Random(2)
     for _ in range(800):
         tokens = min(40_000, rng.lognormvariate(7.5, 1.2))
-        engines.note_first('s', tokens, 45 + tokens / 40)
+        engines.note_first_token('s', tokens, 45 + tokens / 40)
     model = engines.find_by_service('s')
     assert model.tokens_per_ms == pytest.approx(40, rel=0.2)
 
@@ -67,7 +67,7 @@
 def test_any_samples_give_usable_model(answers):
     engines = Engines(Clock())
     for tokens, waited_ms in answers:
-        engines.note_first('s', tokens, waited_ms)
+        engines.note_first_token('s', tokens, waited_ms)
     model = engines.find_by_service('s')
     prior = engines.settings.tokens_per_ms
     factor = engines.settings.max_prior_factor
--- a/tests/test_endpoint_entries.py
+++ b/tests/test_endpoint_entries.py
@@ -149,7 +149,7 @@
     old.pause = Pause(until_ms=10**15, length_ms=500)
     parts = [PromptPart('p', 100)]
     now = host.clock.now()
-    host.selection.prefixes.note(old.id, parts, now)
+    host.selection.prefixes.note_cached(old.id, parts, now)
     host.loads.put('run', {old.id: Load(5, 700)})
     apply_change(follower, 'e1', encode(born=LATER))
     new = find(follower)
--- a/tests/test_late_drains.py
+++ b/tests/test_late_drains.py
@@ -83,7 +83,7 @@
 def make_follower(store):
     """Return the follower of a host whose zone is read by another host."""
     host = make_host_context()
-    host.feed.followed = True
+    host.feed.has_reader = True
     return EndpointFollower(host, store)
 
 
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -77,7 +77,7 @@
     )
     def agree_usage(self, name, window, count, lost):
         view = self.views[name]
-        if view.holds(self.now) and window not in view.reported:
+        if view.holds(self.now) and window not in view.committed_counts:
             counts = {'anna': count}
             record = LeaseRecord(RecordKind.USAGE, name, window, counts)
             self._append(view, record, lost, False)
@@ -88,7 +88,7 @@
         if not view.holds(self.now):
             return
         self.actions.append((self.now, name, view.fencing))
-        for window, counts in view.reported.items():
+        for window, counts in view.committed_counts.items():
             sent = self.reports.setdefault(window, counts)
             assert sent == counts, 'one window reported in two versions'
 
--- a/tests/test_ownreports.py
+++ b/tests/test_ownreports.py
@@ -138,7 +138,7 @@
     receiver.receive(reports.encode_bundle('hub', True, encoded))
     assert receiver.host.loads.get('e') == Load(3, 300)
     assert receiver.host.loads.get('f') == Load(1, 0)
-    assert 'h2' in receiver.host.members.heard
+    assert 'h2' in receiver.host.members.reporting
 
 
 def make_zone_report(run, number):
--- a/tests/test_peerlinks.py
+++ b/tests/test_peerlinks.py
@@ -66,7 +66,7 @@
         for daemon in started:
             await wait_until(
                 lambda daemon=daemon: (
-                    daemon.host.members.count_heard() == len(started) - 1
+                    daemon.host.members.count_reporting() == len(started) - 1
                 ),
                 2,
             )
--- a/tests/test_quota_cost.py
+++ b/tests/test_quota_cost.py
@@ -45,9 +45,9 @@
     host.quotas.started_ms = now - 1000
     assert host.quotas._compute_share(now) < 0.1
     for number in range(HOSTS):
-        host.members.note_heard(f'h{number}')
+        host.members.note_report(f'h{number}')
     assert host.quotas._compute_share(now) == 1.0
-    host.members.heard.clear()
+    host.members.reporting.clear()
     assert host.quotas._compute_share(now) == 1.0
 
 
@@ -66,7 +66,7 @@
     """Each host receives reports of all hosts several times a second."""
     host = make_large_fleet_host()
     host.quotas.started_ms = host.clock.now() - age_ms
-    counted = count_calls(monkeypatch, host, 'count_heard')
+    counted = count_calls(monkeypatch, host, 'count_reporting')
     listed = count_calls(monkeypatch, host, 'others')
     put_report(host)
     assert len(host.quotas.buckets) == len(CUSTOMERS)
--- a/tests/test_stale_placement.py
+++ b/tests/test_stale_placement.py
@@ -79,7 +79,7 @@
     candidates = make_candidates([0, 0, 0, 0])
     candidates[2].cached_tokens = 5000
     for reading, stays in ((0, True), (2000, True), (90_000, False)):
-        candidates[2].reading_tokens = reading
+        candidates[2].queued_tokens = reading
         best, _ = placement.choose(
             candidates, demand, MODEL, SETTINGS, unreported
         )
--- a/tests/test_topology.py
+++ b/tests/test_topology.py
@@ -122,7 +122,7 @@
                 await wait_until(daemon.host.is_ready)
                 await wait_until(
                     lambda daemon=daemon: (
-                        daemon.host.members.count_heard() == hosts - 1
+                        daemon.host.members.count_reporting() == hosts - 1
                     )
                 )
             await scenario(site, list(site.hosts.values()))
--- a/tests/test_usage_saving.py
+++ b/tests/test_usage_saving.py
@@ -257,7 +257,7 @@
             await wait_until(lambda: find_holders(site), 8)
             duties = host.duties
             now = duties.host.time.wall() // 1000
-            duties.view.agreed_until = now - 3
+            duties.view.last_committed_window = now - 3
             assert duties._may_be_committed(now - 3)
             assert not duties._may_be_committed(now - 2)
             duties.view.note_history_lost(duties.clock.boot())
