--- a/pearrun/platform/quarantinelog.py
+++ b/pearrun/platform/quarantinelog.py
@@ -68,7 +68,9 @@
             return
         # Monotonic clocks of hosts are not comparable; stored times are
         # wall-clock times.
-        dated = suspect.to_clock(self.host.time.wall(), self.host.clock.now())
+        dated = suspect.to_clock(
+            self.host.corrected_clock.wall(), self.host.clock.now()
+        )
         self.quarantine.merge([dated], 'store', forward=True)
 
     def _handle_removal(self, key):
@@ -97,7 +99,7 @@
 
     async def _save(self, unsaved):
         now = self.host.clock.now()
-        wall = self.host.time.wall()
+        wall = self.host.corrected_clock.wall()
         pairs = [
             (item.fingerprint, encode(item.to_clock(now, wall)))
             for item in unsaved
--- a/pearrun/shared/duties.py
+++ b/pearrun/shared/duties.py
@@ -41,20 +41,22 @@
 
     :param host: shared objects of this host.
     :param lease_log: the :class:`LeaseLog`.
-    :param calls: the :class:`DutyClient`.
+    :param duty_client: the :class:`DutyClient`.
     :param reports: the :class:`ReportReceiver`, which knows the holder's
         latest notice.
     :param scaler: the :class:`Scaler`, or ``None``.
     :param usage_log: the :class:`UsageLog`.
     """
 
-    def __init__(self, host, lease_log, calls, reports, scaler, usage_log):
+    def __init__(
+        self, host, lease_log, duty_client, reports, scaler, usage_log
+    ):
         self.host = host
         self.log = lease_log
         self.usage_saver = UsageSaver(host.usage_table, usage_log)
         self.view = lease_log.view
         self.clock = host.clock
-        self.calls = calls
+        self.duty_client = duty_client
         self.reports = reports
         self.scaler = scaler
         self.started_ms = self.clock.now()
@@ -212,7 +214,7 @@
         A successor reads them there and reports exactly the same counts.
         """
         settings = self.host.settings.usage
-        wall = self.host.time.wall()
+        wall = self.host.corrected_clock.wall()
         last = (wall - SETTLE_MS) // settings.window_ms - 1
         table = self.host.usage_table
         oldest = (
@@ -221,7 +223,7 @@
         for window in range(oldest, last + 1):
             if self._may_be_committed(window) or not self._has_counts(window):
                 continue
-            counts = table.total(window)
+            counts = table.sum_window(window)
             for name in self.host.config.current.customers:
                 counts.setdefault(name, 0)
             await self.log.write(
@@ -238,7 +240,7 @@
             return True
         if view.history_lost_ms is None:
             return False
-        lost_wall_ms = self.host.time.wall() - (
+        lost_wall_ms = self.host.corrected_clock.wall() - (
             self.clock.boot() - view.history_lost_ms
         )
         end_ms = (window + 1) * self.host.settings.usage.window_ms
@@ -251,7 +253,7 @@
 
     async def _deliver_usage(self, term):
         settings = self.host.settings.usage
-        wall = self.host.time.wall()
+        wall = self.host.corrected_clock.wall()
         for window, counts in sorted(self.view.committed_counts.items()):
             end_ms = (window + 1) * settings.window_ms
             if wall > end_ms + settings.due_ms + LATE_REPORT_MS:
@@ -260,7 +262,7 @@
             if window in self.delivered or not term.holds():
                 continue
             try:
-                await self.calls.report_usage(term, window, counts)
+                await self.duty_client.report_usage(term, window, counts)
             except exceptions.DutyCallError as exc:
                 logger.bind(
                     code=exc.code, window=window, fencing=term.fencing
--- a/pearrun/shared/host.py
+++ b/pearrun/shared/host.py
@@ -67,8 +67,10 @@
         self.quotas = Quotas(
             clock, self.config, settings.quota, self.members, self.feed
         )
-        self.time = CorrectedClock(clock)
-        self.usage = UsageCounts(self.time.wall, settings.usage.window_ms)
+        self.corrected_clock = CorrectedClock(clock)
+        self.usage = UsageCounts(
+            self.corrected_clock.wall, settings.usage.window_ms
+        )
         self.usage_table = UsageTable()
         self.remove_host_reports = lambda name: None
 
--- a/pearrun/shared/reportreceiver.py
+++ b/pearrun/shared/reportreceiver.py
@@ -162,7 +162,7 @@
         """
         if report.run.host == bundle.sender:
             self.host.members.note_report(bundle.sender)
-            self.host.time.put_report(bundle.sender, report.wall_ms)
+            self.host.corrected_clock.put_report(bundle.sender, report.wall_ms)
 
     def _record_host(self, report, bundle):
         """Record the parts of a host's own report that sums do not have."""
@@ -379,7 +379,7 @@
     def _remove_runs(self, name):
         """Remove a host's own reports; sums that it sent as a hub stay."""
         self.host.members.reporting.discard(name)
-        self.host.time.remove(name)
+        self.host.corrected_clock.remove(name)
         self.config_versions.pop(name, None)
         self.duty_notices.pop(name, None)
         for run in [run for run in self._numbers if run.host == name]:
--- a/pearrun/shared/scaler.py
+++ b/pearrun/shared/scaler.py
@@ -21,13 +21,13 @@
     """Plans the number of endpoints per zone and sends orders for them.
 
     :param host: shared objects of this host.
-    :param calls: the :class:`DutyClient`.
+    :param duty_client: the :class:`DutyClient`.
     """
 
-    def __init__(self, host, calls):
+    def __init__(self, host, duty_client):
         self.host = host
         self.clock = host.clock
-        self.calls = calls
+        self.duty_client = duty_client
         self.settings = scaling.ScalingSettings()
         self.ordered = {}
         self.need_history = {}
@@ -206,7 +206,7 @@
         if count == order.count and now - sent_ms < ORDER_REPEAT_MS:
             return
         try:
-            await self.calls.order(term, order)
+            await self.duty_client.order(term, order)
         except exceptions.DutyCallError as exc:
             if exc.status == 409:
                 # No capacity available: retry, but not with every plan.
--- a/pearrun/shared/usagetable.py
+++ b/pearrun/shared/usagetable.py
@@ -60,7 +60,7 @@
             if window >= first_window and by_run.get(run)
         }
 
-    def total(self, window):
+    def sum_window(self, window):
         """Return the sum of all hosts' counts in a window, by customer."""
         total = collections.Counter()
         for counts in self.windows.get(window, {}).values():
--- a/tests/test_platform_adapter.py
+++ b/tests/test_platform_adapter.py
@@ -259,13 +259,13 @@
 
 
 def test_usage_of_a_killed_run_is_kept_and_added_to_by_the_next_run():
-    board = UsageTable()
-    board.put('h', 1, {5: {'anna': 3}})
-    board.put('h', 1, {5: {'anna': 4}})
-    board.put('h', 2, {5: {'anna': 1}})
-    board.put('i', 1, {5: {'anna': 1, 'ben': 2}})
-    assert board.total(5) == {'anna': 6, 'ben': 2}
-    assert board.total(6) == {}
+    table = UsageTable()
+    table.put('h', 1, {5: {'anna': 3}})
+    table.put('h', 1, {5: {'anna': 4}})
+    table.put('h', 2, {5: {'anna': 1}})
+    table.put('i', 1, {5: {'anna': 1, 'ben': 2}})
+    assert table.sum_window(5) == {'anna': 6, 'ben': 2}
+    assert table.sum_window(6) == {}
 
 
 class FakeMessage:
--- a/tests/test_usage_saving.py
+++ b/tests/test_usage_saving.py
@@ -125,7 +125,7 @@
         """The window ends after all hosts have reported."""
         for name in HOSTS:
             self.report(name)
-        total = self.table.total(self.window).get('c', 0)
+        total = self.table.sum_window(self.window).get('c', 0)
         self.committed[self.window] = total
         self.window += 1
 
@@ -137,7 +137,7 @@
     @invariant()
     def the_table_never_exceeds_the_actual_counts(self):
         for window in list(self.table.windows):
-            total = self.table.total(window).get('c', 0)
+            total = self.table.sum_window(window).get('c', 0)
             assert total <= self.actual[window]
 
 
@@ -256,7 +256,7 @@
             (host,) = site.hosts.values()
             await wait_until(lambda: find_holders(site), 8)
             duties = host.duties
-            now = duties.host.time.wall() // 1000
+            now = duties.host.corrected_clock.wall() // 1000
             duties.view.last_committed_window = now - 3
             assert duties._may_be_committed(now - 3)
             assert not duties._may_be_committed(now - 2)
