--- a/pearrun/shared/duties.py
+++ b/pearrun/shared/duties.py
@@ -139,11 +139,11 @@
         after the holder is lost, every read is charged, although only one
         host takes over.
         """
-        heard_ms = self.reports.get_last_duty_ms()
+        notice_ms = self.reports.get_last_notice_ms()
         is_delayed = self.host.feed.through_hubs and not self.reports.is_hub
         if not is_delayed:
-            return 0 if heard_ms is None else heard_ms + HOLDER_TIMEOUT_MS
-        since_ms = self.started_ms if heard_ms is None else heard_ms
+            return 0 if notice_ms is None else notice_ms + HOLDER_TIMEOUT_MS
+        since_ms = self.started_ms if notice_ms is None else notice_ms
         return since_ms + HOLDER_TIMEOUT_MS + NON_HUB_DELAY_MS
 
     def _is_read_due(self, now):
--- a/pearrun/shared/reportreceiver.py
+++ b/pearrun/shared/reportreceiver.py
@@ -277,7 +277,7 @@
         """
         return self.config_versions.get(name)
 
-    def get_last_duty_ms(self):
+    def get_last_notice_ms(self):
         """Return when the latest notice of the lease was created.
 
         :returns: milliseconds by this host's clock; ``None`` without any.
--- a/tests/test_reportreceiver.py
+++ b/tests/test_reportreceiver.py
@@ -80,7 +80,7 @@
         notice = forward_notice(receivers[number % 2], notice, number)
         assert notice.age_ms >= 50 * number
     for receiver in receivers:
-        assert receiver.get_last_duty_ms() - created_ms < 125
+        assert receiver.get_last_notice_ms() - created_ms < 125
 
 
 def forward_notice(receiver, notice, number):
