--- a/benchmarks/placement.py
+++ b/benchmarks/placement.py
@@ -27,7 +27,7 @@
 from pearrun.decisions.topology import MAX_MESH_HOSTS
 from pearrun.shared.prompts import PromptPart
 from pearrun.shared.selection import HUB_REPORT_AGE_MS
-from pearrun.shared.selection import LARGE_TOKENS
+from pearrun.shared.selection import LARGE_PROMPT_TOKENS
 
 FLAGS = flags.FLAGS
 flags.DEFINE_list(
@@ -426,7 +426,7 @@
         own = self.reports.own[call.host]
         own[number] += 1
         own[count + number] += call.uncached_tokens
-        if call.uncached_tokens >= LARGE_TOKENS:
+        if call.uncached_tokens >= LARGE_PROMPT_TOKENS:
             self.reports.send(call.host)
         self.schedule(
             self.now_ms + 300.0, self._note_placed, best.id, call.part
@@ -460,7 +460,7 @@
         )
 
     def _note_placed(self, endpoint_id, part):
-        self.prefixes.note(endpoint_id, [part], self.now_ms)
+        self.prefixes.note_cached(endpoint_id, [part], self.now_ms)
 
     def _deliver(self, call, number):
         self.engines[number].accept(call)
--- a/pearrun/shared/duties.py
+++ b/pearrun/shared/duties.py
@@ -18,10 +18,10 @@
 
 # Interval between checks of the lease and between runs of each duty.
 TICK_MS = 250
-# If the lease holder is not heard of for this long, which is three rounds of
-# reports, a host starts to monitor the lease log.  A successor can claim the
-# lease only seconds after that, and it must still report in time the usage
-# window that ended meanwhile.
+# If the lease holder has sent no notice for this long, which is three rounds
+# of reports, a host starts to monitor the lease log.  A successor can claim
+# the lease only seconds later, and must still report a usage window that
+# ended meanwhile in time.
 HOLDER_TIMEOUT_MS = 700
 # Pause after saving usage counts failed: the store may be unavailable.
 SAVE_RETRY_MS = 500
@@ -41,20 +41,22 @@
 
     :param host: shared objects of this host.
     :param lease_log: the :class:`LeaseLog`.
-    :param calls: the :class:`DutyClient`.
-    :param reports: the :class:`ReportReceiver`, which knows when the holder
-        was last heard of.
+    :param duty_client: the :class:`DutyClient`.
+    :param reports: the :class:`ReportReceiver`, which knows the holder's
+        latest notice.
     :param scaler: the :class:`Scaler`, or ``None``.
     :param usage_log: the :class:`UsageLog`.
     """
 
-    def __init__(self, host, lease_log, calls, reports, scaler, usage_log):
+    def __init__(
+        self, host, lease_log, duty_client, reports, scaler, usage_log
+    ):
         self.host = host
         self.log = lease_log
-        self.usage_saver = UsageSaver(host.usage_board, usage_log)
+        self.usage_saver = UsageSaver(host.usage_table, usage_log)
         self.view = lease_log.view
         self.clock = host.clock
-        self.calls = calls
+        self.duty_client = duty_client
         self.reports = reports
         self.scaler = scaler
         self.started_ms = self.clock.now()
@@ -104,7 +106,9 @@
         if self.view.holder == self.view.run and self.view.valid_until_ms:
             if self.view.should_renew(now):
                 await self.log.write(
-                    self._record(RecordKind.RENEW, self.view.agreed_until)
+                    self._record(
+                        RecordKind.RENEW, self.view.last_committed_window
+                    )
                 )
             self._log_lease_change()
             return
@@ -129,17 +133,17 @@
             self._log_lease_change()
 
     def _monitor_from_ms(self):
-        """Return when to start monitoring the log if no holder is heard.
+        """Return when to start monitoring the log without new notices.
 
         In a large fleet the hubs start first.  If all hosts read the log
-        after the holder is lost, each read costs, although only one host
-        takes over.
+        after the holder is lost, every read is charged, although only one
+        host takes over.
         """
-        heard_ms = self.reports.get_last_duty_ms()
+        notice_ms = self.reports.get_last_notice_ms()
         is_delayed = self.host.feed.through_hubs and not self.reports.is_hub
         if not is_delayed:
-            return 0 if heard_ms is None else heard_ms + HOLDER_TIMEOUT_MS
-        since_ms = self.started_ms if heard_ms is None else heard_ms
+            return 0 if notice_ms is None else notice_ms + HOLDER_TIMEOUT_MS
+        since_ms = self.started_ms if notice_ms is None else notice_ms
         return since_ms + HOLDER_TIMEOUT_MS + NON_HUB_DELAY_MS
 
     def _is_read_due(self, now):
@@ -184,7 +188,7 @@
             return
         try:
             await self.usage_saver.restore(term)
-            await self.usage_saver.save(self.view.agreed_until + 1)
+            await self.usage_saver.save(self.view.last_committed_window + 1)
         except exceptions.PearrunError as exc:
             logger.bind(code=exc.code).info(f'usage not saved: {exc.message}')
             await asyncio.sleep(to_seconds(SAVE_RETRY_MS))
@@ -194,8 +198,8 @@
         if term is None:
             return
         if self.usage_saver.term is term:
-            # Not before the counts that a former holder saved are restored:
-            # the report would lack them.
+            # Only after the counts that a former holder saved are restored:
+            # without them the report would be incomplete.
             await self._commit_usage()
         await self._deliver_usage(term)
 
@@ -210,16 +214,16 @@
         A successor reads them there and reports exactly the same counts.
         """
         settings = self.host.settings.usage
-        wall = self.host.time.wall()
+        wall = self.host.corrected_clock.wall()
         last = (wall - SETTLE_MS) // settings.window_ms - 1
-        board = self.host.usage_board
+        table = self.host.usage_table
         oldest = (
             last - (settings.due_ms + LATE_REPORT_MS) // settings.window_ms
         )
         for window in range(oldest, last + 1):
             if self._may_be_committed(window) or not self._has_counts(window):
                 continue
-            counts = board.total(window)
+            counts = table.sum_window(window)
             for name in self.host.config.current.customers:
                 counts.setdefault(name, 0)
             await self.log.write(
@@ -232,11 +236,11 @@
         A second report with different counts is worse than no report.
         """
         view = self.view
-        if window <= view.agreed_until:
+        if window <= view.last_committed_window:
             return True
         if view.history_lost_ms is None:
             return False
-        lost_wall_ms = self.host.time.wall() - (
+        lost_wall_ms = self.host.corrected_clock.wall() - (
             self.clock.boot() - view.history_lost_ms
         )
         end_ms = (window + 1) * self.host.settings.usage.window_ms
@@ -244,13 +248,13 @@
 
     def _has_counts(self, window):
         """Return whether the known counts reach back to a window."""
-        windows = self.host.usage_board.windows
+        windows = self.host.usage_table.windows
         return bool(windows) and window >= min(windows)
 
     async def _deliver_usage(self, term):
         settings = self.host.settings.usage
-        wall = self.host.time.wall()
-        for window, counts in sorted(self.view.reported.items()):
+        wall = self.host.corrected_clock.wall()
+        for window, counts in sorted(self.view.committed_counts.items()):
             end_ms = (window + 1) * settings.window_ms
             if wall > end_ms + settings.due_ms + LATE_REPORT_MS:
                 self.delivered.discard(window)
@@ -258,7 +262,7 @@
             if window in self.delivered or not term.holds():
                 continue
             try:
-                await self.calls.report_usage(term, window, counts)
+                await self.duty_client.report_usage(term, window, counts)
             except exceptions.DutyCallError as exc:
                 logger.bind(
                     code=exc.code, window=window, fencing=term.fencing
