--- a/pearrun/api/backends.py
+++ b/pearrun/api/backends.py
@@ -71,7 +71,7 @@
 
 
 async def stream_tokens(session, endpoint, job, priority, host):
-    """Stream a job's tokens from an engine, after those the job has.
+    """Stream a job's remaining tokens from an engine.
 
     :param session: an :class:`aiohttp.ClientSession`.
     :param endpoint: the :class:`Endpoint` chosen by the router.
--- a/pearrun/api/calls.py
+++ b/pearrun/api/calls.py
@@ -1,4 +1,4 @@
-"""Non-idempotent calls: run at most once, also when requests are retried."""
+"""Non-idempotent calls, made at most once even if requests are retried."""
 
 import dataclasses
 
@@ -24,9 +24,9 @@
 
 
 class AtMostOnceCaller:
-    """Claims idempotency keys and makes their calls.
+    """Makes each non-idempotent call at most once, after claiming its key.
 
-    :param settings: the daemon's whole :class:`Settings`.
+    :param settings: the daemon's complete :class:`Settings`.
     :param session: an :class:`aiohttp.ClientSession` for back ends.
     :param claims: a :class:`KeyClaims`.
     :param journal: the daemon's :class:`Journal`.
@@ -74,7 +74,7 @@
                 'this Idempotency-Key was used for another request'
             )
         if not claim.won:
-            text = await self.claims.wait_outcome(
+            text = await self.claims.wait_for_outcome(
                 key,
                 self.settings.host.stall_ms,
                 self.membership.is_writer_dead,
@@ -90,7 +90,7 @@
         return CallOutcome(text, publish=claims_module.ANSWERED)
 
     async def claim(self, key, digest):
-        """Claim a key; retries until the log is available.
+        """Claim a key; retry until the log is available.
 
         :returns: a :class:`Claim`.
         """
@@ -105,7 +105,7 @@
                 await backoff.pause()
 
     async def make_call(self, job, service):
-        """Make a claimed call; retries only when it cannot have run.
+        """Make a claimed call; retry it only if it cannot have run.
 
         :returns: the service's result text.
         :raises BackendError: the call may have run.
--- a/pearrun/api/claims.py
+++ b/pearrun/api/claims.py
@@ -37,8 +37,9 @@
     """A key's claim, and the outcome of its call once known.
 
     ``holder`` is the journal stream of the daemon that has the claim,
-    and ``digest`` the hash of the prompt that it received.  ``won``
-    says whether the attempt that asks is the one with the claim.
+    and ``digest`` the hash of the prompt.  ``won`` is true if the claim
+    belongs to the attempt given to :meth:`KeyClaims.claim` or
+    :meth:`KeyClaims.read`.
     """
 
     holder: str
@@ -74,7 +75,7 @@
         self.clock = Clock()
 
     async def claim(self, key, holder, digest='', attempt=None):
-        """Claim a key; the caller makes its call right afterwards.
+        """Claim a key, right before its call is made.
 
         When the response to an append is lost, the append is repeated:
         the second one conflicts if the first one succeeded, and the
@@ -82,7 +83,7 @@
 
         :param key: the scoped idempotency key.
         :param holder: this daemon's journal stream.
-        :param digest: hash of the request, to detect a key that is reused
+        :param digest: hash of the prompt, to detect a key that is reused
             for another request.
         :param attempt: a unique id; the same one when a failed claim is
             retried for the same run of the request.
@@ -138,7 +139,7 @@
         )
 
     async def publish(self, key, kind, text=None):
-        """Publish a claimed key's outcome; retries until the log is up.
+        """Publish a claimed key's outcome; retry until it is on the log.
 
         The first outcome on the log is final; later ones are dropped.
         """
@@ -155,7 +156,7 @@
             except exceptions.PearrunError:
                 await backoff.pause()
 
-    async def wait_outcome(self, key, timeout_ms, is_dead):
+    async def wait_for_outcome(self, key, timeout_ms, is_dead):
         """Wait for the outcome of a call that another daemon makes.
 
         :param timeout_ms: how long to wait while the holder is alive.
--- a/pearrun/api/config.py
+++ b/pearrun/api/config.py
@@ -7,7 +7,7 @@
 Followers apply a record only if its version is above the current one,
 so the configuration never reverts to an older version.  Before the
 newest record reaches the log's retention limit, a follower appends it
-again, on condition that the follower has read the whole stream.
+again, provided that it has read the whole stream.
 """
 
 import asyncio
--- a/pearrun/api/crashes.py
+++ b/pearrun/api/crashes.py
@@ -27,7 +27,7 @@
 CRASH_CHECK_WAIT_MS = 50
 # Port of an endpoint whose URL has none.
 HTTP_PORT = 80
-# Limits of the suspects in one heartbeat, and of the crash times kept.
+# Maximum number of suspects in one heartbeat, and of crash times kept.
 MAX_SENT_SUSPECTS = 16
 MAX_TRACKED_CRASHES = 256
 
@@ -60,7 +60,7 @@
             )
 
     def check_job(self, job):
-        """Fail an accepted job whose request is quarantined.
+        """Raise an error if an accepted job's request is quarantined.
 
         :raises CrashedEndpointsError: endpoints crashed under it.
         """
@@ -74,7 +74,7 @@
         self.quarantine.note_answered(job)
 
     def check_for_crash(self, job, endpoint, ran_ms, progressed):
-        """Start a check whether an endpoint crashed under a failed job.
+        """Start checking whether an endpoint crashed under a failed job.
 
         :param ran_ms: how long the job ran on the endpoint.
         :param progressed: whether the job received tokens from it.
@@ -105,7 +105,7 @@
         self.quarantine.handle_crashes([(job.fingerprint, crash)])
 
     def describe(self):
-        """Return the suspects to send to other daemons, JSON-ready."""
+        """Return the suspects to send to other daemons, JSON-serializable."""
         now = self.clock.now()
         wall = self.clock.wall()
         known = self.quarantine.known.suspects.values()
@@ -130,7 +130,10 @@
         self.quarantine.merge(local_suspects, 'beat', forward=False)
 
     def _make_crash_id(self, endpoint_id, now):
-        """Return the id of an endpoint's crash that was detected now."""
+        """Return the id of an endpoint's crash that was detected now.
+
+        Detections within :data:`CRASH_WINDOW_MS` get the same id.
+        """
         first_noticed_ms = self._crashed_ms.get(endpoint_id)
         if (
             first_noticed_ms is None
--- a/pearrun/api/daemon.py
+++ b/pearrun/api/daemon.py
@@ -66,7 +66,7 @@
         self.membership = None
         self.dispatcher = None
         self.lookup = None
-        self.departure = None
+        self.shutdown = None
         self.hosts = None
         self.orders = None
         self.recovery = None
@@ -82,8 +82,10 @@
         log = LogClient(self.session, settings.platform)
         self.config = ConfigFollower(log, settings, self.on_config_change)
         self.peers = Peers(settings, self.router, self.config)
-        pace = TokenBucket(settings.platform.appends_per_s, self.count_daemons)
-        self.journal = Journal(log, settings, self.on_sealed, pace)
+        rate_limiter = TokenBucket(
+            settings.platform.appends_per_s, self.count_daemons
+        )
+        self.journal = Journal(log, settings, self.on_sealed, rate_limiter)
         self.membership = Membership(
             log,
             settings,
@@ -121,7 +123,7 @@
             self.membership,
             self.journal,
         )
-        self.departure = GracefulShutdown(
+        self.shutdown = GracefulShutdown(
             settings,
             self.dispatcher,
             self.journal,
@@ -133,7 +135,7 @@
             settings,
             self.router,
             self.announce_endpoint_leaving,
-            self.departure.handle_reclaim_notice,
+            self.shutdown.handle_reclaim_notice,
         )
         self.orders = OrderReconciler(
             self.session,
@@ -207,8 +209,8 @@
         await self.recovery.watch()
 
     async def stop(self):
-        """Hand over or finish all requests, then stop the daemon."""
-        await self.departure.stop()
+        """Finish or hand over all requests, then stop the daemon."""
+        await self.shutdown.stop()
         for task in self.tasks:
             task.cancel()
         await self.session.close()
@@ -221,9 +223,9 @@
             stream=self.journal.stream,
             zone=self.settings.host.zone,
             url=f'http://{listen.host}:{listen.port}',
-            state=self.departure.state,
+            state=self.shutdown.state,
             config_version=self.config.tree.version,
-            leaving=tuple(self.router.leaving()),
+            leaving=tuple(self.router.list_leaving()),
             suspects=self.crashes.describe(),
         )
 
@@ -236,7 +238,7 @@
         return len(self.membership.list_live())
 
     def announce_endpoint_leaving(self, endpoint_id):
-        """Announce to all daemons that an endpoint takes no new work.
+        """Announce to all daemons that an endpoint gets no new requests.
 
         Peers in this zone are notified over their peer links, daemons
         in other zones by a heartbeat, which is sent at once.
@@ -245,7 +247,7 @@
         self.membership.heartbeat_requested.set()
 
     def on_endpoint_leaving(self, endpoint_id):
-        """Mark an endpoint that another daemon reports as leaving."""
+        """Mark an endpoint as leaving, because another daemon reports it."""
         self.router.mark(endpoint_id, EndpointState.LEAVING)
 
     def on_sealed(self):
--- a/pearrun/api/dispatcher.py
+++ b/pearrun/api/dispatcher.py
@@ -1,4 +1,4 @@
-"""The dispatcher: accepts requests, starts their jobs, holds answers."""
+"""The dispatcher: accepts requests, runs their jobs, keeps answers."""
 
 import asyncio
 
@@ -27,7 +27,7 @@
     A job does not depend on its caller's connection: a caller that
     disconnects can fetch the answer later by the request's id.
 
-    :param settings: the daemon's whole :class:`Settings`.
+    :param settings: the daemon's complete :class:`Settings`.
     :param router: a :class:`Router`.
     :param journal: a :class:`Journal`.
     :param config: a :class:`ConfigFollower` with the active team tree.
@@ -102,8 +102,7 @@
             answer.  A caller that waits for the answer to an idempotent
             request is served even while the log is down.
         :returns: the :class:`Job`; the earlier one for a repeated key.
-        :raises PearrunError: an error with a code; nothing was
-            accepted.
+        :raises PearrunError: the request was not accepted.
         """
         service = self.check(body, key)
         scoped_key = IdempotencyKey(f'{body.model}/{key}') if key else None
@@ -144,7 +143,7 @@
         """Journal a job, then start it.
 
         :returns: the :class:`Job`.
-        :raises CapacityError: it could not be journaled.
+        :raises CapacityError: the job could not be journaled.
         """
         counters = self.metrics.get_or_create(job.service)
         try:
@@ -166,7 +165,7 @@
         the job's id is not known to anyone yet, so the acceptance is
         written to the newly opened stream under a new id.
 
-        :raises CapacityError: it could not be journaled.
+        :raises CapacityError: the acceptance could not be journaled.
         """
         try:
             await self.journal.accept(build_accepted_entry(job))
@@ -238,7 +237,7 @@
         self.start(job, service)
 
     def start(self, job, service):
-        """Run a journaled job in a task of its own."""
+        """Start an accepted job in a task of its own."""
         self.jobs[job.id] = job
         self.saver.record_accepted(job)
         task = asyncio.create_task(self.runner.run(job, service), name=job.id)
--- a/pearrun/api/entries.py
+++ b/pearrun/api/entries.py
@@ -32,7 +32,8 @@
     """Tokens of a running request from index ``start`` on.
 
     A daemon that takes the request over resumes after these tokens
-    instead of generating them again.  ``endpoint`` is where it ran.
+    instead of generating them again.  ``endpoint`` is the last one that
+    ran the request.
     """
 
     id: RequestId
@@ -56,7 +57,7 @@
 class Withdrawn:
     """Cancels the acceptance of a request in this journal.
 
-    No daemon may run the request on account of this journal.
+    A daemon that takes this journal over does not run the request.
     """
 
     id: RequestId
--- a/pearrun/api/hosts.py
+++ b/pearrun/api/hosts.py
@@ -21,10 +21,11 @@
 class HostWatcher:
     """Marks endpoints as leaving, and refreshes the loads of engines.
 
-    Endpoints are marked on the cloud's reclaim notices and its host list.
+    Endpoints are marked when the cloud's reclaim notices or its host list
+    report that their hosts are leaving.
 
     :param session: an :class:`aiohttp.ClientSession`.
-    :param settings: the daemon's whole :class:`Settings`.
+    :param settings: the daemon's complete :class:`Settings`.
     :param router: the daemon's :class:`Router`.
     :param announce: called with the id of an endpoint that this daemon
         marked as leaving.
@@ -46,7 +47,7 @@
 
         :param source: what reported the endpoint, for the log line.
         :param reclaim_at_ms: monotonic time at which its host is
-            reclaimed, if known; its running streams migrate before.
+            reclaimed, if known; its running streams migrate before then.
         """
         endpoint = self.router.endpoints.get(endpoint_id)
         if endpoint is None:
@@ -124,8 +125,9 @@
         """Poll the engines' loads at a bounded rate until cancelled.
 
         At most ``load_polls_per_s`` engines are polled per second, so
-        that the cost does not grow with the fleet.  None is polled when
-        no request was routed for :data:`POLLING_IDLE_MS`.
+        that the cost does not grow with the fleet.  When no request was
+        routed for :data:`POLLING_IDLE_MS`, none is polled and all
+        reported loads are reset to 0.
         """
         interval_s = 1.0 / self.settings.host.load_polls_per_s
         rest_ms = self.settings.host.loads_poll_ms
--- a/pearrun/api/journal.py
+++ b/pearrun/api/journal.py
@@ -86,15 +86,15 @@
     :param settings: the daemon's complete :class:`Settings`.
     :param on_sealed: called without arguments after another host has
         sealed the stream and this daemon has started a new one.
-    :param pace: the :class:`TokenBucket` that limits the append rate, or
-        ``None``.
+    :param rate_limiter: the :class:`TokenBucket` that limits the append
+        rate, or ``None``.
     """
 
-    def __init__(self, log, settings, on_sealed=None, pace=None):
+    def __init__(self, log, settings, on_sealed=None, rate_limiter=None):
         self.log = log
         self.settings = settings
         self.on_sealed = on_sealed
-        self.pace = pace
+        self.rate_limiter = rate_limiter
         self.clock = Clock()
         self.retry_s = to_seconds(
             max(1, settings.platform.timeout_ms // RETRIES_PER_TIMEOUT)
@@ -116,11 +116,13 @@
         Only then may the acceptance be reported to the caller.
 
         :param entry: an :class:`entries.Accepted`.
-        :raises JournalUnavailableError: not recorded, and never run.
+        :raises JournalUnavailableError: the request is not recorded and
+            will not run.
         :raises AmbiguousAppendError: it is unknown whether the entry was
             recorded; a ``Withdrawn`` entry follows it, and this host
             does not run the request.
-        :raises StreamSealedError: not recorded, and never run.
+        :raises StreamSealedError: the request is not recorded and will
+            not run under this id.
         """
         await self.write(entry, durable=False)
 
@@ -130,7 +132,10 @@
         return len(self.queue) >= MAX_QUEUED_ENTRIES
 
     async def write(self, entry, durable=True):
-        """Write one entry and wait until it is committed."""
+        """Write one entry and wait until it is committed.
+
+        :param durable: see :class:`Pending`.
+        """
         committed = self.enqueue(entry, durable)
         self.wake.set()
         await committed
@@ -138,9 +143,10 @@
     def enqueue(self, entry, durable=True):
         """Queue one entry, to be sent within :data:`LINGER_MS`.
 
-        Entries that no caller awaits are batched with those that some
-        caller does, so on a busy host they need no appends of their own.
+        An entry that no caller waits for is batched with later ones, so
+        on a busy host it needs no append of its own.
 
+        :param durable: see :class:`Pending`.
         :returns: a future that is done once the entry is committed.
         """
         loop = asyncio.get_running_loop()
@@ -162,8 +168,10 @@
             await self.wake.wait()
             self.wake.clear()
             while self.queue:
-                if self.pace is not None:
-                    await asyncio.sleep(to_seconds(self.pace.reserve()))
+                if self.rate_limiter is not None:
+                    await asyncio.sleep(
+                        to_seconds(self.rate_limiter.reserve())
+                    )
                 self.expire_overdue()
                 count = min(MAX_BATCH_ENTRIES, len(self.queue))
                 batch = [self.queue.popleft() for _ in range(count)]
--- a/pearrun/api/journalstate.py
+++ b/pearrun/api/journalstate.py
@@ -51,7 +51,7 @@
     def add_progress(self, entry):
         """Append an entry's tokens to the known ones.
 
-        The entry is ignored if there is a gap between the two.
+        The entry is ignored if tokens before its own are missing.
         """
         known = self.progress.get(entry.id)
         tokens = known.tokens if known is not None else ()
--- a/pearrun/api/kvtransfer.py
+++ b/pearrun/api/kvtransfer.py
@@ -14,8 +14,8 @@
 async def transfer_cache(session, job, source, target, timeout_ms):
     """Copy a job's KV cache blocks between two engines.
 
-    After a failure the stream resumes all the same; the new engine
-    then recomputes the cache.
+    If the transfer fails, the new engine recomputes the cache when it
+    resumes the stream.
 
     :param session: an :class:`aiohttp.ClientSession`.
     :param job: the :class:`Job` to migrate.
--- a/pearrun/api/logservice.py
+++ b/pearrun/api/logservice.py
@@ -112,7 +112,7 @@
                 retry_after_s=RETRY_AFTER_S,
             ) from exc
 
-    async def bounds(self, stream):
+    async def read_bounds(self, stream):
         """Return a stream's ``(first_offset, next_offset)``.
 
         :raises JournalUnavailableError: the service is unavailable.
--- a/pearrun/api/lookup.py
+++ b/pearrun/api/lookup.py
@@ -37,7 +37,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Remote:
-    """The request is held by another daemon, which counts as alive."""
+    """The request is held by another daemon, which is considered alive."""
 
     member: Member
 
@@ -128,9 +128,9 @@
     async def find_member(self, stream):
         """Return the daemon that writes a journal, or ``None``.
 
-        If it is unknown, the members are read from the log first: it
-        may have sent its first heartbeat since the last poll, or this
-        daemon may have just started.
+        If that daemon is unknown, the members are read from the log
+        first: it may have sent its first heartbeat since the last poll,
+        or the daemon that asks may have just started.
         """
         if self.membership.find(stream) is None:
             with contextlib.suppress(exceptions.JournalUnavailableError):
@@ -144,7 +144,7 @@
         :param request_id: the request's id.
         :param method: the HTTP method.
         :param action: a path suffix, such as ``/cancel``.
-        :returns: ``(status, body)``; ``None`` if it does not answer.
+        :returns: ``(status, body)``; ``None`` if the daemon does not answer.
         """
         url = f'{member.url}/v1/requests/{request_id}{action}'
         try:
--- a/pearrun/api/members.py
+++ b/pearrun/api/members.py
@@ -8,8 +8,8 @@
 nobody is declared dead; a daemon that was paused reads the heartbeats
 that it missed before it judges the others.
 
-That a daemon is declared dead is only a hint to seal its journal;
-whether its host may accept requests is decided by the seal (see
+When a daemon is declared dead, another one seals its journal.  It is
+the seal that decides whether the daemon may still accept requests (see
 ``docs/survival.md``).
 """
 
@@ -29,7 +29,7 @@
 class Member:
     """One run of a daemon, as described by its last heartbeat.
 
-    ``missed`` counts the observer's own heartbeats since then, and
+    ``missed`` counts the observer's own heartbeats since that one, and
     ``replaced`` says that a later run of the same host has sent
     heartbeats.  ``suspects`` are the requests under which endpoints
     crashed.
@@ -48,7 +48,7 @@
 
     @classmethod
     def from_heartbeat(cls, heartbeat):
-        """Build a member from a heartbeat's map."""
+        """Build a member from a heartbeat's dict."""
         return cls(
             name=str(heartbeat['name']),
             stream=str(heartbeat['stream']),
@@ -61,7 +61,7 @@
         )
 
     def to_heartbeat(self):
-        """Return the member as a heartbeat's JSON-ready map."""
+        """Return the member as a heartbeat's JSON-serializable dict."""
         return {
             'name': self.name,
             'stream': self.stream,
@@ -78,8 +78,9 @@
     """Sends heartbeats and follows the ``members`` stream.
 
     :param log: a :class:`LogClient`.
-    :param settings: the daemon's whole :class:`Settings`.
-    :param describe: returns this daemon's own :class:`Member`.
+    :param settings: the daemon's complete :class:`Settings`.
+    :param describe: a callable that returns this daemon's own
+        :class:`Member`.
     :param on_leaving: called with each endpoint id that another
         daemon reports as leaving.
     :param on_suspects: called with the requests under which endpoints
@@ -103,7 +104,7 @@
 
     @property
     def orphan_beats(self):
-        """Own heartbeats without one from a member until it is dead."""
+        """Number of missed heartbeats at which a member is considered dead."""
         return self.settings.host.orphan_beats
 
     def is_dead(self, member):
@@ -180,9 +181,10 @@
 
     @property
     def heartbeat_interval_ms(self):
-        """Interval between heartbeats; it grows with the live daemons.
+        """Interval between heartbeats; it grows with the number of daemons.
 
-        Together they append at most :data:`MAX_HEARTBEATS_PER_S`.
+        All live daemons together append at most
+        :data:`MAX_HEARTBEATS_PER_S`.
         """
         rate_limited_ms = 1000 * len(self.list_live()) // MAX_HEARTBEATS_PER_S
         return max(self.settings.host.beat_ms, rate_limited_ms)
@@ -207,13 +209,13 @@
             await self.send_heartbeat(extra=True)
 
     async def poll_once(self):
-        """Read and process the new heartbeats on the log, each once.
+        """Read and process the new heartbeats on the log.
 
-        :raises JournalUnavailableError: the log service is down.
+        :raises JournalUnavailableError: the log service is unavailable.
         """
         async with self.read_lock:
             if self.next_offset is None:
-                first, head = await self.log.bounds(MEMBERS_STREAM)
+                first, head = await self.log.read_bounds(MEMBERS_STREAM)
                 self.next_offset = max(first, head - MAX_INITIAL_RECORDS)
             records, self.next_offset = await self.log.read_all(
                 MEMBERS_STREAM, self.next_offset
--- a/pearrun/api/orders.py
+++ b/pearrun/api/orders.py
@@ -56,7 +56,7 @@
     """Reconciles the engines of this daemon's zone with the team tree.
 
     :param session: an :class:`aiohttp.ClientSession`.
-    :param settings: the daemon's whole :class:`Settings`.
+    :param settings: the daemon's complete :class:`Settings`.
     :param router: the daemon's :class:`Router`.
     :param config: the daemon's :class:`ConfigFollower`.
     :param membership: the daemon's :class:`Membership`.
--- a/pearrun/api/peers.py
+++ b/pearrun/api/peers.py
@@ -58,7 +58,7 @@
 class Peers:
     """The peer links of one daemon.
 
-    :param settings: the daemon's whole :class:`Settings`.
+    :param settings: the daemon's complete :class:`Settings`.
     :param router: the daemon's :class:`Router`; endpoints that peers report
         as leaving are marked there.
     :param config: the daemon's :class:`ConfigFollower`.
@@ -186,5 +186,5 @@
             self.receive(data)
 
     def to_body(self):
-        """Return the state of the links, JSON-ready."""
+        """Return the state of the links, JSON-serializable."""
         return [dataclasses.asdict(link) for link in self.links.values()]
--- a/pearrun/api/placement.py
+++ b/pearrun/api/placement.py
@@ -22,7 +22,7 @@
         self.clock = Clock()
 
     async def choose(self, job, service, tried, backoff):
-        """Select an endpoint; waits until there is one.
+        """Select an endpoint; wait until there is one.
 
         :param tried: a set of endpoint ids to exclude; it is cleared
             when no other endpoint is left.
@@ -36,7 +36,7 @@
             await backoff.pause()
 
     def find(self, job, service, exclude=()):
-        """Select an endpoint; ``None`` if there is none."""
+        """Select an endpoint, or return ``None`` if there is none."""
         try:
             return self.router.choose(
                 job.service, job.prompt, exclude, build_policy(service)
@@ -72,7 +72,10 @@
 
     @contextlib.contextmanager
     def track_in_flight(self, job, endpoint):
-        """Count a job as in flight on an endpoint while it runs there."""
+        """Count a job as in flight on an endpoint while it runs there.
+
+        Also updates the job's ``endpoint``, ``started`` and ``attempts``.
+        """
         was_started = job.started
         job.endpoint = endpoint.id
         job.started = True
--- a/pearrun/api/progress.py
+++ b/pearrun/api/progress.py
@@ -1,4 +1,4 @@
-"""Journal entries of running jobs and periodic saving of progress."""
+"""Journal entries of jobs, and periodic saving of their progress."""
 
 import asyncio
 
@@ -44,11 +44,11 @@
         self.clock = Clock()
 
     def record_accepted(self, job):
-        """Record that a job's acceptance has just been journaled."""
+        """Set the time when a job's acceptance was last written to now."""
         job.saved_ms = self.clock.now()
 
     def save(self, job):
-        """Write what is new about a running job to the journal.
+        """Write a running job's unsaved progress to the journal.
 
         The acceptance is written again before the log's retention drops
         it; the tokens generated since the last save are added.  Nothing
--- a/pearrun/api/recovery.py
+++ b/pearrun/api/recovery.py
@@ -1,6 +1,6 @@
 """Recovery: failover of the requests of a dead host.
 
-For each member that counts as dead, one live daemon takes its journal
+For each member that is declared dead, one live daemon takes its journal
 over.  The daemon is chosen by rendezvous hashing; if it does not act,
 the next ones in the order do.  A takeover has four steps, of which 2
 and 4 are compare-and-appends to the dead host's stream:
@@ -71,8 +71,8 @@
     def is_due(self, member):
         """Return whether this daemon has to take a member's journal over.
 
-        The daemon of rank n acts n missed heartbeats after the member
-        has come to count as dead.
+        The daemon of rank n acts once the member has missed n more
+        heartbeats than it takes to be declared dead.
         """
         if member.stream == self.journal.stream:
             return False
@@ -101,8 +101,8 @@
     async def append_at(self, stream, entry, offset):
         """Append one entry at a given offset.
 
-        An append of unknown outcome is repeated; if that one conflicts,
-        the record at the offset is read back.
+        An append of unknown outcome is repeated; on a conflict, the
+        record at the offset is read back.
 
         :returns: true if the entry is at ``offset``, false if another
             record is.
--- a/pearrun/api/router.py
+++ b/pearrun/api/router.py
@@ -33,7 +33,7 @@
 class AffinityPolicy:
     """Prefix-cache affinity, bounded by load.
 
-    ``slack`` is how many requests more than the least loaded endpoint a
+    ``slack`` is how many requests more than the least loaded endpoint the
     chosen one may have.  ``reach`` is the minimum prompt length, in
     characters, at which endpoints of all zones are considered: the
     prefill of a long prompt costs more than a hop between zones.
@@ -123,7 +123,7 @@
 
     @classmethod
     def from_settings(cls, settings, policy=None):
-        """Build a router from a daemon's whole :class:`Settings`."""
+        """Build a router from a daemon's complete :class:`Settings`."""
         return cls(
             [Endpoint.from_settings(e) for e in settings.endpoints],
             settings.host.zone,
@@ -136,8 +136,8 @@
 
         :param service: the service name.
         :param exclude: endpoint ids to exclude.
-        :param all_zones: whether to include all zones; else only this
-            daemon's zone, or all if it has no such endpoint.
+        :param all_zones: whether to include all zones; if false, other
+            zones are included only if this daemon's has no such endpoint.
         :returns: a list of :class:`Endpoint`, sorted by id.
         """
         if service not in self.pools:
@@ -234,7 +234,7 @@
                 current.services = frozenset(new_settings.services)
         self.pools.clear()
 
-    def leaving(self):
+    def list_leaving(self):
         """Return the ids of endpoints that accept no new requests."""
         return [
             e.id
--- a/pearrun/api/runner.py
+++ b/pearrun/api/runner.py
@@ -1,7 +1,7 @@
 """Execution of jobs, from an accepted request to its final state.
 
 A job is retried when no endpoint is available or an endpoint fails: it
-pauses and resumes on another endpoint after the last token that it has.
+pauses, then resumes on another endpoint after its last token.
 There are two exceptions: a non-idempotent call that may have run is not
 repeated (see :mod:`pearrun.api.calls`), and a request that crashes the
 endpoints which run it fails (see :mod:`pearrun.api.crashes`).
@@ -29,7 +29,7 @@
 class Runner:
     """Runs jobs on endpoints.
 
-    :param settings: the daemon's whole :class:`Settings`.
+    :param settings: the daemon's complete :class:`Settings`.
     :param session: an :class:`aiohttp.ClientSession` for back ends.
     :param router: a :class:`Router`.
     :param claims: :class:`KeyClaims` for non-idempotent calls.
@@ -125,7 +125,7 @@
 
         :raises EndpointRefusedError: the engine rejected the request
             as invalid; all other engines would, too.
-        :raises CrashedEndpointsError: endpoints crash under it.
+        :raises CrashedEndpointsError: endpoints crashed under the request.
         """
         counters = self.metrics.get_or_create(job.service)
         tried = set()
@@ -187,7 +187,7 @@
                     return await self.copy_stream(job, service, endpoint)
 
     async def copy_stream(self, job, service, endpoint):
-        """Append an engine's tokens to a job, after those it has.
+        """Append the tokens that an engine streams to a job.
 
         :returns: ``None`` at the end, or the :class:`Endpoint` to
             continue on.
@@ -247,7 +247,7 @@
         return target
 
     async def migrate(self, job, source, target):
-        """Transfer a stream's cache, then cancel it on the old engine."""
+        """Transfer a job's cache, then cancel its stream on the old engine."""
         if self.settings.host.move_cache:
             await transfer_cache(
                 self.session, job, source, target, MIGRATION_TIMEOUT_MS
--- a/pearrun/api/shutdown.py
+++ b/pearrun/api/shutdown.py
@@ -14,9 +14,9 @@
 
 
 class GracefulShutdown:
-    """Drains a daemon, hands over unfinished requests, and announces it.
+    """Drains a daemon, hands over unfinished requests, notifies the others.
 
-    :param settings: the daemon's whole :class:`Settings`.
+    :param settings: the daemon's complete :class:`Settings`.
     :param dispatcher: its :class:`Dispatcher`.
     :param journal: its :class:`Journal`.
     :param lookup: its :class:`Lookup`.
@@ -54,7 +54,7 @@
             await self.dispatcher.hand_over()
 
     async def stop(self):
-        """Shut down because this process was told to stop.
+        """Shut down when the process is stopped as planned.
 
         Before the process ends, callers whose requests were handed over
         receive the rest of their answers through this host.
--- a/pearrun/api/structures.py
+++ b/pearrun/api/structures.py
@@ -67,7 +67,7 @@
     """An accepted request and its answer so far.
 
     ``started`` says that an endpoint may have run it, ``attempts`` is
-    the number of endpoints that did, ``readers`` the number of callers
+    the number of its runs so far, ``readers`` the number of callers
     that are reading the answer, and ``token_ms`` an exponential moving
     average of the time between tokens.  ``saved`` is the number of
     tokens on the log, ``saved_ms`` the time when the acceptance was last
@@ -104,7 +104,7 @@
 
     @functools.cached_property
     def fingerprint(self):
-        """Fingerprint that repeats of the request by its customer share."""
+        """Fingerprint of the request; its repeats by one customer share it."""
         return fingerprint_request(
             self.service,
             self.customer,
@@ -164,7 +164,7 @@
             )
 
     def to_body(self):
-        """Return the job's status, JSON-ready."""
+        """Return the job's status, JSON-serializable."""
         return {
             'id': self.id,
             'state': self.state.value,
--- a/pearrun/api/tokenbucket.py
+++ b/pearrun/api/tokenbucket.py
@@ -1,10 +1,10 @@
 """Rate limit of journal appends, shared between the daemons.
 
-The log service takes several hundred appends a second from all
-daemons together.  A fixed part of this rate is for journals, and each
-daemon limits itself to an equal part of that rate.  Therefore, the
-more daemons are alive, the longer the pause between a daemon's
-journal appends, and the more entries go out in each.
+The log service accepts several hundred appends a second from all
+daemons together.  A fixed fraction of this rate is for journals, and
+each daemon limits itself to an equal part of that fraction.  Therefore,
+the more daemons are alive, the longer the pause between a daemon's
+journal appends, and the more entries each append contains.
 """
 
 from pearrun.clock import Clock
@@ -16,8 +16,9 @@
 class TokenBucket:
     """A token bucket for one daemon's journal appends.
 
-    :param appends_per_s: what the log service takes a second.
-    :param count_daemons: returns how many daemons are alive.
+    :param appends_per_s: append rate limit of the log service.
+    :param count_daemons: a callable that returns the number of live
+        daemons.
     """
 
     def __init__(self, appends_per_s, count_daemons):
--- a/pearrun/bench/experiment.py
+++ b/pearrun/bench/experiment.py
@@ -46,8 +46,8 @@
     async def run(self):
         """Run all rounds.
 
-        All policies run a round before the next one starts, so that a
-        temporarily slow machine affects each of them.
+        All policies run a round before the next round starts, so that a
+        temporarily slow machine affects all policies.
 
         Sets :attr:`tree` to the published configuration, which has the
         targets of the services.
@@ -90,7 +90,7 @@
                     await asyncio.sleep(POLL_INTERVAL_S)
 
     async def has_version(self, session, base, version):
-        """Tell whether a daemon has applied a configuration version."""
+        """Return whether a daemon has applied a configuration version."""
         async with session.get(f'{base}/v1/status') as reply:
             return (await reply.json())['config_version'] >= version
 
--- a/pearrun/bench/faults.py
+++ b/pearrun/bench/faults.py
@@ -15,7 +15,7 @@
 
 
 async def reclaim(session, plan, fault):
-    """Issue reclaim notices for a zone and stop its hosts when they end."""
+    """Issue reclaim notices for a zone; stop its hosts when the time is up."""
     await post(
         session,
         f'{plan.cloud_url}/admin/reclaim',
@@ -31,7 +31,7 @@
 
 
 async def inject(session, plan, fault):
-    """Inject a fault at its time."""
+    """Wait until a fault is due, then inject it."""
     await asyncio.sleep(fault.at_s)
     logger.info('injecting fault', fault=fault.model_dump(exclude_none=True))
     match fault:
--- a/pearrun/bench/report.py
+++ b/pearrun/bench/report.py
@@ -54,9 +54,9 @@
 
 
 def meets_targets(outcome, targets):
-    """Tell whether an answer met all targets of its service.
+    """Return whether an answer met all targets of its service.
 
-    The target between tokens applies to the mean over the answer.
+    The target for the time between tokens applies to its mean.
     """
     if outcome.kind != OutcomeKind.WHOLE:
         return False
--- a/pearrun/bench/workload.py
+++ b/pearrun/bench/workload.py
@@ -84,8 +84,8 @@
 async def read_events(reply):
     """Read the tokens of a server-sent event stream.
 
-    :returns: the text, and the last event that has no token or
-        ``None``.
+    :returns: ``(text, final)``; ``final`` is the last event without a
+        token, or ``None``.
     """
     pieces = []
     final = None
--- a/pearrun/standins/link.py
+++ b/pearrun/standins/link.py
@@ -60,7 +60,7 @@
         self.silent = False
 
     def drops_bytes(self, writer):
-        """Tell whether bytes to one end are dropped at present."""
+        """Return whether bytes to one end are being dropped."""
         one_way = self.link.mode is LinkMode.ONE_WAY
         return self.silent or (one_way and writer is self.client_writer)
 
--- a/pearrun/standins/logstore.py
+++ b/pearrun/standins/logstore.py
@@ -90,7 +90,7 @@
             stream.first_offset += expired
 
     def exceeds_rate(self):
-        """Count an append and tell whether it exceeds the rate limit."""
+        """Count an append; return whether it exceeds the rate limit."""
         now = self.clock.now()
         if now - self.window_start >= 1000:
             self.window_start = now
--- a/pearrun/standins/platformrunner.py
+++ b/pearrun/standins/platformrunner.py
@@ -55,7 +55,7 @@
 
 @dataclasses.dataclass
 class Run:
-    """A request that the endpoint accepted.
+    """A request that reached the endpoint and was not refused.
 
     :param last_event_id: the event after which the stream resumes.
     :param events: number of events sent.
@@ -69,7 +69,7 @@
 
 
 class PlatformRunner:
-    """An endpoint.
+    """An endpoint stand-in.
 
     :param runner_id: its id, which differs at every start.
     :param slots: the number of slots that its entry gives.
--- a/pearrun/standins/platformsite.py
+++ b/pearrun/standins/platformsite.py
@@ -107,7 +107,7 @@
 
     :param site: an object with ``store_address`` and ``api_address``.
     :param ports: the ports ``front``, ``ready`` and ``peer``; the
-        port range starts at the last one.
+        port range starts at the port ``peer``.
     :param bounds: fields that replace those of the section ``bounds``.
     """
     return {
--- a/pearrun/standins/platformstore.py
+++ b/pearrun/standins/platformstore.py
@@ -46,8 +46,8 @@
     """The log of a topic, in a single partition.
 
     ``first`` is the offset of the oldest record that is kept,
-    ``newest`` maps each key to its newest value and that one's offset,
-    and the next append sets the event ``appended``.
+    ``newest`` maps each key to a pair of its newest value and the offset
+    of that value, and the next append sets the event ``appended``.
     """
 
     def __init__(self):
@@ -87,10 +87,10 @@
 
 
 class PlatformStore:
-    """The store.
+    """The store stand-in.
 
     :meth:`put` writes what operators and endpoints write to the real
-    one.
+    store.
     """
 
     def __init__(self):
--- a/tests/builders.py
+++ b/tests/builders.py
@@ -233,7 +233,7 @@
             raise exceptions.AmbiguousAppendError('lost', retry_after_s=1)
         return offset
 
-    async def bounds(self, name):
+    async def read_bounds(self, name):
         if self.down:
             raise exceptions.JournalUnavailableError('down', retry_after_s=1)
         stream = self.stream(name)
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -94,10 +94,10 @@
     async def scenario():
         await key_claims.claim(key, 'requests.a')
         with pytest.raises(exceptions.OutcomeUnknownError):
-            await key_claims.wait_outcome(key, 1000, lambda holder: True)
+            await key_claims.wait_for_outcome(key, 1000, lambda holder: True)
         await key_claims.publish(key, claims_module.ANSWERED, 'late')
         with pytest.raises(exceptions.OutcomeUnknownError):
-            await key_claims.wait_outcome(key, 1000, lambda holder: False)
+            await key_claims.wait_for_outcome(key, 1000, lambda holder: False)
 
     asyncio.run(scenario())
 
@@ -157,7 +157,7 @@
                 await asyncio.shield(self.resumed[number])
                 await self.claims.publish(KEY, claims_module.ANSWERED, 'a')
             else:
-                await self.claims.wait_outcome(KEY, 20, self.appears_dead)
+                await self.claims.wait_for_outcome(KEY, 20, self.appears_dead)
         except (exceptions.OutcomeUnknownError, exceptions.CapacityError):
             return
 
