--- a/pearrun/api/config.py
+++ b/pearrun/api/config.py
@@ -150,7 +150,7 @@
         self.settings = settings
         self.on_change = on_change
         self.clock = Clock()
-        self.tree = settings.team_tree()
+        self.tree = settings.get_team_tree()
         self.next_offset = 0
         self.newest_record = None
         self.newest_seen_ms = None
--- a/pearrun/api/daemon.py
+++ b/pearrun/api/daemon.py
@@ -199,7 +199,7 @@
         ):
             logger.warning('changed host or platform settings need a restart')
         self.router.update_endpoints(settings.endpoints)
-        self.config.apply(settings.team_tree())
+        self.config.apply(settings.get_team_tree())
         logger.info('settings reloaded', endpoints=len(settings.endpoints))
 
     async def watch_for_failover(self):
--- a/pearrun/api/hosts.py
+++ b/pearrun/api/hosts.py
@@ -29,8 +29,8 @@
     :param router: the daemon's :class:`Router`.
     :param announce: called with the id of an endpoint that this daemon
         marked as leaving.
-    :param on_reclaim: called with the time at which this daemon's own
-        entry host is reclaimed, when its notice arrives.
+    :param on_reclaim: called when the reclaim notice of this daemon's own
+        entry host arrives, with the monotonic time of the reclaim.
     """
 
     def __init__(self, session, settings, router, announce, on_reclaim):
--- a/pearrun/api/members.py
+++ b/pearrun/api/members.py
@@ -29,9 +29,9 @@
 class Member:
     """One run of a daemon, as described by its last heartbeat.
 
-    ``missed`` counts the observer's own heartbeats since that one, and
-    ``replaced`` says that a later run of the same host has sent
-    heartbeats.  ``suspects`` are the requests under which endpoints
+    ``missed`` counts the observer's own heartbeats since that one.
+    ``replaced`` says that a later run of the daemon on the same host has
+    sent heartbeats.  ``suspects`` are the requests under which endpoints
     crashed.
     """
 
--- a/pearrun/api/orders.py
+++ b/pearrun/api/orders.py
@@ -88,14 +88,14 @@
     def is_responsible(self, endpoint):
         """Return whether this daemon sends the orders to an endpoint."""
         own_stream = self.membership.describe().stream
-        names = [
+        zone_streams = [
             m.stream
             for m in self.membership.list_live()
             if m.zone == self.settings.host.zone
         ]
         highest_scoring = max(
-            [own_stream, *names],
-            key=lambda n: compute_rendezvous_score(n, endpoint.id),
+            [own_stream, *zone_streams],
+            key=lambda s: compute_rendezvous_score(s, endpoint.id),
         )
         return highest_scoring == own_stream
 
--- a/pearrun/api/peers.py
+++ b/pearrun/api/peers.py
@@ -12,7 +12,7 @@
   answers with its team tree if that is newer, else with a message of
   type ``alive`` that has its own version.
 - ``{"type": "leaving", "from": name, "endpoint": id}``: forwarded by
-  each daemon to which it is new.
+  each daemon that has not yet marked the endpoint as leaving.
 - ``{"type": "config", "from": name, "yaml": text}``: the active team
   tree, for daemons that cannot reach the platform log.
 """
--- a/pearrun/api/recovery.py
+++ b/pearrun/api/recovery.py
@@ -63,9 +63,9 @@
             m.stream: compute_rendezvous_score(m.stream, stream)
             for m in self.membership.list_live()
         }
-        mine = compute_rendezvous_score(own, stream)
+        own_score = compute_rendezvous_score(own, stream)
         return sum(
-            1 for s, score in scores.items() if s != own and score > mine
+            1 for s, score in scores.items() if s != own and score > own_score
         )
 
     def is_due(self, member):
@@ -78,10 +78,10 @@
             return False
         if not self.membership.is_dead(member):
             return False
-        wait = self.rank(member.stream)
+        min_missed = self.rank(member.stream)
         if not member.replaced and member.state.value != 'left':
-            wait += self.membership.orphan_beats
-        return member.missed >= wait
+            min_missed += self.membership.orphan_beats
+        return member.missed >= min_missed
 
     async def watch(self):
         """Poll the members and take over dead hosts, until cancelled."""
--- a/pearrun/api/runner.py
+++ b/pearrun/api/runner.py
@@ -234,7 +234,7 @@
 
         The KV cache is on the engine that last ran the job.  The job
         resumes there if the engine accepts new requests; else the cache
-        is transferred to another one.
+        is transferred to another engine.
 
         :returns: an :class:`Endpoint`, or ``None`` for no preference.
         """
--- a/pearrun/api/settings.py
+++ b/pearrun/api/settings.py
@@ -175,7 +175,7 @@
     teams: dict[str, TeamSettings] = {}
     version: int = pydantic.Field(default=0, ge=0)
 
-    def team_tree(self):
+    def get_team_tree(self):
         """Return the shared branch as a :class:`TeamTree`."""
         return TeamTree(version=self.version, teams=self.teams)
 
--- a/pearrun/bench/meter.py
+++ b/pearrun/bench/meter.py
@@ -19,8 +19,8 @@
 class Meter:
     """Polls the hosts during a round.
 
-    A host is charged for as long as it responds.  When it no longer
-    does, the counters that were last read from it are kept.
+    A host is charged for as long as it responds.  When a host
+    stops responding, the counters last read from it are kept.
 
     :param session: an :class:`aiohttp.ClientSession`.
     :param plan: the :class:`Plan`.
