--- a/pearrun/api/config.py
+++ b/pearrun/api/config.py
@@ -7,7 +7,7 @@
 Followers apply a record only if its version is above the current one,
 so the configuration never reverts to an older version.  Before the
 newest record reaches the log's retention limit, a follower appends it
-again, on condition that the follower has read the whole stream.
+again, provided that it has read the whole stream.
 """
 
 import asyncio
@@ -150,7 +150,7 @@
         self.settings = settings
         self.on_change = on_change
         self.clock = Clock()
-        self.tree = settings.team_tree()
+        self.tree = settings.get_team_tree()
         self.next_offset = 0
         self.newest_record = None
         self.newest_seen_ms = None
--- a/pearrun/api/recovery.py
+++ b/pearrun/api/recovery.py
@@ -1,6 +1,6 @@
 """Recovery: failover of the requests of a dead host.
 
-For each member that counts as dead, one live daemon takes its journal
+For each member that is declared dead, one live daemon takes its journal
 over.  The daemon is chosen by rendezvous hashing; if it does not act,
 the next ones in the order do.  A takeover has four steps, of which 2
 and 4 are compare-and-appends to the dead host's stream:
@@ -63,25 +63,25 @@
             m.stream: compute_rendezvous_score(m.stream, stream)
             for m in self.membership.list_live()
         }
-        mine = compute_rendezvous_score(own, stream)
+        own_score = compute_rendezvous_score(own, stream)
         return sum(
-            1 for s, score in scores.items() if s != own and score > mine
+            1 for s, score in scores.items() if s != own and score > own_score
         )
 
     def is_due(self, member):
         """Return whether this daemon has to take a member's journal over.
 
-        The daemon of rank n acts n missed heartbeats after the member
-        has come to count as dead.
+        The daemon of rank n acts once the member has missed n more
+        heartbeats than it takes to be declared dead.
         """
         if member.stream == self.journal.stream:
             return False
         if not self.membership.is_dead(member):
             return False
-        wait = self.rank(member.stream)
+        min_missed = self.rank(member.stream)
         if not member.replaced and member.state.value != 'left':
-            wait += self.membership.orphan_beats
-        return member.missed >= wait
+            min_missed += self.membership.orphan_beats
+        return member.missed >= min_missed
 
     async def watch(self):
         """Poll the members and take over dead hosts, until cancelled."""
@@ -101,8 +101,8 @@
     async def append_at(self, stream, entry, offset):
         """Append one entry at a given offset.
 
-        An append of unknown outcome is repeated; if that one conflicts,
-        the record at the offset is read back.
+        An append of unknown outcome is repeated; on a conflict, the
+        record at the offset is read back.
 
         :returns: true if the entry is at ``offset``, false if another
             record is.
