--- a/tests/builders.py
+++ b/tests/builders.py
@@ -43,7 +43,7 @@
 # Concurrent test runs use separate blocks of ports, because a port that is
 # free when it is chosen may be in use when it is bound.
 BLOCK_PORTS = 400
-HELD_BLOCKS = []
+RESERVED_BLOCKS = []
 
 
 def choose_ports():
@@ -54,14 +54,14 @@
     blocks = list(range(FIRST_PORT, LAST_PORT, BLOCK_PORTS))
     first = os.getpid() % len(blocks)
     for block in [*blocks[first:], *blocks[:first]]:
-        holder = socket.socket()
+        listener = socket.socket()
         try:
-            holder.bind(('127.0.0.1', block))
-            holder.listen()
+            listener.bind(('127.0.0.1', block))
+            listener.listen()
         except OSError:
-            holder.close()
+            listener.close()
             continue
-        HELD_BLOCKS.append(holder)
+        RESERVED_BLOCKS.append(listener)
         yield from range(block + 1, block + BLOCK_PORTS)
 
 
@@ -130,8 +130,8 @@
     return '\n'.join(lines) + '\n'
 
 
-def settings(name='bv-1', zone='boa-viagem', **platform):
-    """Return a daemon's whole :class:`Settings`; its platform is fake."""
+def build_settings(name='bv-1', zone='boa-viagem', **platform):
+    """Return a daemon's :class:`Settings`, with an unreachable log service."""
     tree = {
         'host': {'name': name, 'zone': zone, 'listen': {'port': 8101}},
         'platform': {'log_url': 'http://127.0.0.1:1', **platform},
@@ -166,12 +166,12 @@
 class FakeLog:
     """An in-memory log service with the :class:`LogClient` interface.
 
-    ``down`` makes every call fail, as in an outage.  The others are
-    numbers of appends: ``lose_answers`` are applied although their
-    answers are lost, and each adds ``lose_after`` to ``lose_appends``;
-    ``lose_appends`` are lost before they are applied; ``delay_appends``
-    are reported as lost and applied by :meth:`deliver`.
-    ``down_after_loss`` starts an outage after a lost answer.
+    ``down`` makes every call fail, as in an outage.  Three attributes are
+    numbers of coming appends: ``lose_appends`` are lost before they are
+    applied; ``lose_answers`` are applied, but their answers are lost;
+    ``delay_appends`` are reported as lost, and :meth:`deliver` applies
+    them.  After each lost answer, ``lose_after`` is added to
+    ``lose_appends``, and ``down_after_loss`` starts an outage.
     """
 
     def __init__(self):
@@ -182,7 +182,7 @@
         self.down_after_loss = False
         self.lose_appends = 0
         self.delay_appends = 0
-        self.under_way = []
+        self.delayed = []
 
     def stream(self, name):
         return self.streams.setdefault(name, FakeStream())
@@ -207,7 +207,7 @@
 
     def deliver(self):
         """Apply the delayed appends."""
-        arriving, self.under_way = self.under_way, []
+        arriving, self.delayed = self.delayed, []
         for append in arriving:
             try:
                 self.apply(*append)
@@ -223,7 +223,7 @@
             raise exceptions.AmbiguousAppendError('lost', retry_after_s=1)
         if self.delay_appends > 0:
             self.delay_appends -= 1
-            self.under_way.append((name, value, expected_offset))
+            self.delayed.append((name, value, expected_offset))
             raise exceptions.AmbiguousAppendError('late', retry_after_s=1)
         offset = self.apply(name, value, expected_offset)
         if self.lose_answers > 0:
--- a/tests/test_calls.py
+++ b/tests/test_calls.py
@@ -20,7 +20,7 @@
 
     async def main():
         log = builders.FakeLog()
-        settings = builders.settings()
+        settings = builders.build_settings()
         router = Router(
             [builders.make_endpoint(0, kind=BackendKind.SERVICE)], 'boa-viagem'
         )
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -1,4 +1,4 @@
-"""At most one request gets an idempotency key, despite log failures."""
+"""Claims of idempotency keys: one request at most wins, despite failures."""
 
 import asyncio
 import time
@@ -66,7 +66,7 @@
 
 
 def test_claim_with_lost_answer_is_recovered_after_an_outage():
-    """Guards against a call that is never made, such as a lost alarm.
+    """Guards against a call, such as an alarm, that no host ever makes.
 
     The claim was written, but its answer was lost in an outage.  The
     same attempt must recognize the claim as its own.
@@ -117,7 +117,7 @@
 
 
 class AtMostOnce(stateful.RuleBasedStateMachine):
-    """Hosts that make the call of one key, and are paused meanwhile.
+    """Hosts that make the call for one key and may be paused at any step.
 
     The service runs the call at most once, whichever appends or answers
     are lost and whichever hosts are declared dead.
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -27,7 +27,7 @@
         self.loop = asyncio.new_event_loop()
         self.log = builders.FakeLog()
         self.followers = [
-            config.ConfigFollower(self.log, builders.settings())
+            config.ConfigFollower(self.log, builders.build_settings())
             for _ in range(3)
         ]
         self.seen = [0, 0, 0]
@@ -45,7 +45,7 @@
         lost=st.integers(0, 2),
     )
     def publish(self, team, lost):
-        """Publish while responses are lost: the outcome is still known."""
+        """Publish while responses are lost; the outcome must be known."""
         self.log.lose_answers = lost
         try:
             version, _ = self.run(
@@ -80,7 +80,7 @@
     def restart(self, number):
         """A restarted host has no state of its own."""
         self.followers[number] = config.ConfigFollower(
-            self.log, builders.settings()
+            self.log, builders.build_settings()
         )
         self.seen[number] = 0
         if not self.log.down:
@@ -166,7 +166,7 @@
         for _ in range(3):
             await config.publish(log, STREAM, builders.build_team_tree())
         log.expire(STREAM, 2)
-        follower = config.ConfigFollower(log, builders.settings())
+        follower = config.ConfigFollower(log, builders.build_settings())
         await follower.poll_once()
         return follower.tree.version
 
@@ -191,7 +191,7 @@
 
     async def scenario():
         await config.publish(log, STREAM, builders.build_team_tree())
-        stale = config.ConfigFollower(log, builders.settings())
+        stale = config.ConfigFollower(log, builders.build_settings())
         await stale.poll_once()
         await config.publish(log, STREAM, builders.build_team_tree())
         stale.newest_seen_ms -= 10 * stale.settings.platform.retention_ms
--- a/tests/test_crashes.py
+++ b/tests/test_crashes.py
@@ -192,7 +192,7 @@
     assert len(harness.recorder) == crashdetector.MAX_CALLS
 
 
-def check_endpoint(address):
+def probe_endpoint(address):
     """Return a coroutine that probes an address after a broken call.
 
     Its result tells whether a crash was reported.
@@ -217,12 +217,12 @@
             find_free_port(),
         )
         host, port = server.sockets[0].getsockname()
-        down = await check_endpoint(f'{host}:{port}')
+        crashed = await probe_endpoint(f'{host}:{port}')
         server.close()
-        return down
+        return crashed
 
     assert not asyncio.run(main())
 
 
-def test_an_endpoint_that_refuses_connections_is_found_down():
-    assert asyncio.run(check_endpoint(f'127.0.0.1:{find_free_port()}'))
+def test_an_endpoint_that_refuses_connections_has_crashed():
+    assert asyncio.run(probe_endpoint(f'127.0.0.1:{find_free_port()}'))
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -9,7 +9,7 @@
 from tests.crashes import send
 from tests.crashes import send_repeatedly
 from tests.platformsite import wait_until
-from tests.test_topology import play_with_hubs
+from tests.test_topology import run_with_hubs
 
 SENDS = 8
 # Routes whose calls a host retries, so that each runs on two endpoints.
@@ -106,4 +106,4 @@
         heartbeats.cancel()
         assert count_crashed(site, '/once/x') <= 4
 
-    play_with_hubs(scenario, monkeypatch, list_runners(10))
+    run_with_hubs(scenario, monkeypatch, list_runners(10))
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -26,9 +26,9 @@
 LIMITS = ScaleLimits(1, 6, 4000, 0.18, {'a': 0.85, 'b': 1.2, 'c': 1.0})
 
 
-def make_candidate(name, calls=0, reading=0, cached=0, same_zone=True):
+def make_candidate(name, calls=0, queued=0, cached=0, same_zone=True):
     """Return a candidate endpoint with eight slots."""
-    return placement.Candidate(name, same_zone, 8, calls, reading, cached)
+    return placement.Candidate(name, same_zone, 8, calls, queued, cached)
 
 
 def test_prompt_goes_to_endpoint_with_cached_prefix():
@@ -41,7 +41,7 @@
 def test_cached_prefix_does_not_outweigh_long_queue():
     candidates = [
         make_candidate('x'),
-        make_candidate('y', reading=50_000, cached=5000),
+        make_candidate('y', queued=50_000, cached=5000),
     ]
     demand = placement.CallDemand(6000, 'subject')
     best, _ = placement.choose(candidates, demand, MODEL, PLACEMENT)
@@ -71,32 +71,32 @@
 def test_burst_is_distributed_over_all_endpoints():
     """No endpoint gets twice its share of sixty simultaneous calls."""
     calls = dict.fromkeys('pqrstu', 0)
-    reading = dict.fromkeys('pqrstu', 0)
+    queued = dict.fromkeys('pqrstu', 0)
     rng = random.Random(3)
     for _ in range(60):
         tokens = rng.choice([1800, 1800, 1800, 6600])
         candidates = [
-            make_candidate(name, calls[name], reading[name]) for name in calls
+            make_candidate(name, calls[name], queued[name]) for name in calls
         ]
         demand = placement.CallDemand(tokens, f's{rng.randrange(40)}')
         best, _ = placement.choose(candidates, demand, MODEL, PLACEMENT)
         calls[best.id] += 1
-        reading[best.id] += tokens
-    assert max(reading.values()) <= 1.3 * sum(reading.values()) / 6
+        queued[best.id] += tokens
+    assert max(queued.values()) <= 1.3 * sum(queued.values()) / 6
     assert max(calls.values()) < 20
 
 
 def test_initial_count_follows_customer_limits():
-    """Guards against meeting the first wave with too few endpoints.
+    """Guards against a new fleet that is too small for its first calls.
 
-    With limits of 4.8 million units per second, a new fleet had only 4
-    endpoints when the first wave arrived.
+    With limits of 4.8 million units per second, it had only 4 endpoints when
+    the first calls arrived.
     """
     assert scaling.estimate_initial_count(4_800_000, SCALING) == 48
     assert scaling.estimate_initial_count(0, SCALING) == SCALING.min_endpoints
 
 
-def test_more_reclaimable_endpoints_with_late_reports():
+def test_late_reports_raise_need_for_reclaimable_endpoints():
     """Late reports through hubs make the load of the endpoints uneven."""
     past = {0: 50, 25_000: 40}
     mesh_need = scaling.compute_need(past, 26_000, SCALING)
@@ -147,7 +147,7 @@
 
 
 def test_callers_retry_while_their_target_can_be_met():
-    """Calls of a customer over its quota would wait for seconds."""
+    """Guards against calls over a customer's quota that wait for seconds."""
     settings = admission.AdmissionSettings()
     times = {
         admission.compute_retry_after_ms(6000, 12_000, 800, settings)
@@ -339,10 +339,10 @@
             assert total <= LIMITS.largest
         zones = eventual
     reclaimable = [count.reclaimable for count in zones.values()]
-    # Two places of each zone are reserved for reclaimable endpoints.
+    # Capacity for two endpoints per zone is reserved for reclaimable ones.
     remaining = scaling.count_serving(zones) - max(reclaimable)
     is_covered = remaining >= min(needed, 12)
-    # If the places of the zones do not suffice, all serving endpoints are
+    # If the capacity of the zones does not suffice, all serving endpoints are
     # needed.
     assert is_covered or scaling.count_serving(zones) <= needed
     if needed <= 12:
@@ -352,15 +352,10 @@
 def test_serving_endpoints_stay_while_replacements_boot():
     """Guards against releasing endpoints before replacements serve.
 
-    One of three zones was reclaimed, and the other two served all calls. Of
+    One of three zones was reclaimed, and the other two served all calls.  Of
     their 50 reclaimable endpoints, 39 were released in favour of on-demand
-    ones, which take 4 s to boot. In these 4 s 1,014 calls were rejected
-    because of overload:
-
-         8.24 endpoints ordered zone-a reclaimable=false count=33 before=29
-         8.26 endpoints ordered zone-a reclaimable=true count=5
-         8.27 endpoints ordered zone-c reclaimable=true count=6
-         9.00 (serving: 6 reclaimable in zone-a, 6 in zone-c)
+    ones, which take 4 s to boot.  In these 4 s, 1,014 calls were rejected
+    because of overload.
     """
     limits = dataclasses.replace(LIMITS, largest=38)
     zones = {
--- a/tests/test_demand.py
+++ b/tests/test_demand.py
@@ -84,7 +84,7 @@
         engines.others.put(run, learn_engines(112, 45, 12, number).own)
     model = engines.find_by_service('s')
     assert model.tokens_per_ms == pytest.approx(112, rel=0.25)
-    # Its own few samples would give a model that is far off.
+    # Its own few samples alone would underestimate the speed.
     own_model = learn_engines(112, 45, 12).find_by_service('s')
     assert own_model.tokens_per_ms < 0.75 * 112
 
@@ -107,7 +107,7 @@
     assert measured.target_ms == 800
 
 
-def test_past_demand_is_forgotten():
+def test_demand_before_the_window_is_ignored():
     meter = DemandMeter()
     meter.note_call(500, 800, 0)
     assert meter.measure(demand.WINDOW_MS + demand.INTERVAL_MS + 1) == Demand()
@@ -132,8 +132,8 @@
     """Guards against ordering endpoints because calls hang.
 
     A zone becomes unreachable, and half of the calls hang from the fifth
-    second on while the arrival rate stays the same. Counted by calls in
-    progress, the need would double.
+    second on while the arrival rate stays the same.  If calls in progress
+    were counted, the need would double.
     """
     meter = DemandMeter()
     needs = []
@@ -183,7 +183,7 @@
 
 
 def test_many_endpoints_reach_higher_utilization():
-    """The least loaded of many is idle more often than a single one."""
+    """The least loaded of many endpoints is idle more often than one."""
     assert scaling.estimate_waits(6, 10) < 0.2 * scaling.estimate_waits(0.6, 1)
 
 
--- a/tests/test_dispatcher.py
+++ b/tests/test_dispatcher.py
@@ -33,7 +33,7 @@
 
     async def main():
         log = builders.FakeLog()
-        settings = builders.settings(**{'timeout_ms': 50, **platform})
+        settings = builders.build_settings(**{'timeout_ms': 50, **platform})
         journal = journal_module.Journal(log, settings)
         config = ConfigFollower(log, settings)
         config.tree = builders.build_team_tree(version=1)
@@ -91,7 +91,7 @@
     assert before == after
 
 
-def test_handover_saves_the_tokens_on_the_log():
+def test_handover_writes_the_tokens_to_the_journal():
     async def scenario(log, dispatcher):
         job = await submit(dispatcher)
         await job.wait_for_tokens(2)
--- a/tests/test_endpoint_entries.py
+++ b/tests/test_endpoint_entries.py
@@ -180,11 +180,11 @@
 
 
 def test_removal_grace_period_starts_at_the_stores_recovery():
-    """A removal that is learnt of late does not extend the grace period.
+    """Reading a removal late does not extend the grace period.
 
-    Guards against a grace period that starts when the removal is learnt of:
-    1 s after the store's recovery, 1.5 s more made a host use the service's
-    only endpoint for longer than 2 s after it had left.
+    Guards against a grace period that starts when the host reads the removal.
+    It did so 1 s after the store's recovery and waited 1.5 s more: it used
+    the service's only endpoint for longer than 2 s after that had left.
     """
 
     async def main():
--- a/tests/test_job_crashes.py
+++ b/tests/test_job_crashes.py
@@ -1,4 +1,4 @@
-"""Jobs that crash each engine which runs them."""
+"""Quarantine of jobs that crash every engine on which they run."""
 
 import asyncio
 
@@ -23,7 +23,7 @@
 def make_runner():
     """Return a runner whose engines do not listen at their addresses."""
     log = builders.FakeLog()
-    settings = builders.settings()
+    settings = builders.build_settings()
     engines = [builders.make_endpoint(number) for number in range(ENGINES)]
     for engine in engines:
         engine.url = f'http://127.0.0.1:{builders.find_free_port()}'
@@ -122,11 +122,11 @@
 
 
 def test_a_job_taken_over_fails_when_its_request_is_quarantined(monkeypatch):
-    async def run_nothing(*args):
+    async def fail_if_called(*args):
         raise AssertionError('a quarantined job was sent')
         yield
 
-    monkeypatch.setattr(backends, 'stream_tokens', run_nothing)
+    monkeypatch.setattr(backends, 'stream_tokens', fail_if_called)
 
     async def main():
         runner = make_runner()
--- a/tests/test_journal.py
+++ b/tests/test_journal.py
@@ -41,7 +41,7 @@
 
 
 class FakeMembership:
-    """Reports the hosts of the streams in ``dead`` as dead, alive or not."""
+    """Reports the hosts of the streams in ``dead`` as dead, even live ones."""
 
     def __init__(self):
         self.dead = set()
@@ -62,7 +62,7 @@
 
     def __init__(self, log, number):
         self.log = PausableLog(log)
-        settings = builders.settings(f'h{number}', timeout_ms=TIMEOUT_MS)
+        settings = builders.build_settings(f'h{number}', timeout_ms=TIMEOUT_MS)
         self.journal = journal_module.Journal(self.log, settings)
         self.membership = FakeMembership()
         self.adopted = []
@@ -85,9 +85,9 @@
     """Hosts accept requests, are paused and take each other's journals over.
 
     At the end one host takes over all other journals.  Then every request
-    reported as accepted is finished, or unfinished on that host; no
-    request reported as not run is either; and no journal has been
-    emptied by two hosts.
+    reported as accepted is finished, or unfinished on that host; every
+    request reported as not run is neither of these; and no journal has
+    been emptied by two hosts.
     """
 
     def __init__(self):
@@ -244,7 +244,7 @@
 
     async def main():
         log = builders.FakeLog()
-        settings = builders.settings(**{'timeout_ms': 50, **platform})
+        settings = builders.build_settings(**{'timeout_ms': 50, **platform})
         journal = journal_module.Journal(log, settings)
         writer = asyncio.create_task(journal.run())
         try:
--- a/tests/test_late_drains.py
+++ b/tests/test_late_drains.py
@@ -6,11 +6,12 @@
 which the poll arrives, and then responds only at the end of its wait: in 37
 drains on nine hosts, one host learnt of one drain 1,408 ms after the others.
 
-A shorter wait bounds the delay of one such read.  A host that relied on
-another one's reads also waited until nothing was forwarded for 0.75 of the
-allowed time: 800 ms of a read and 1,500 ms without news made 2,309 ms.  Hosts
-therefore track the age of the list, whoever read it, and read the store
-themselves without a wait when it is too old.
+A shorter wait bounds the delay of one such read.  A host that relied on the
+reads of another host read the store itself only after nothing had been
+forwarded to it for 0.75 of the allowed time: a read of 800 ms and 1,500 ms
+without forwarded reads made 2,309 ms.  Hosts therefore track the age of their
+endpoint list, whichever host read it, and read the store themselves, without
+a wait, when the list is too old.
 """
 
 import asyncio
@@ -165,7 +166,7 @@
     assert took_ms < allowed_ms
 
 
-def test_hosts_do_not_read_the_store_while_a_reader_is_heard():
+def test_hosts_make_no_extra_reads_while_a_reader_forwards():
     """The maximum list age must exceed a reading host's long-poll wait."""
 
     async def main():
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -75,7 +75,7 @@
         count=st.integers(0, 9),
         lost=st.booleans(),
     )
-    def agree_usage(self, name, window, count, lost):
+    def commit_usage(self, name, window, count, lost):
         view = self.views[name]
         if view.holds(self.now) and window not in view.committed_counts:
             counts = {'anna': count}
--- a/tests/test_lookup.py
+++ b/tests/test_lookup.py
@@ -46,7 +46,9 @@
     """Return the lookup of the daemon that writes ``own_stream``."""
     members = members or NoMembers()
     journal = types.SimpleNamespace(stream=own_stream)
-    return Lookup(builders.settings(), log, None, NoJobs(), members, journal)
+    return Lookup(
+        builders.build_settings(), log, None, NoJobs(), members, journal
+    )
 
 
 def append_entries(log, stream, *written):
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -27,7 +27,7 @@
 
 def make_membership(log, number):
     own = make_member(number)
-    return Membership(log, builders.settings(f'h{number}'), lambda: own)
+    return Membership(log, builders.build_settings(f'h{number}'), lambda: own)
 
 
 STEPS = st.lists(
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -38,7 +38,7 @@
     """An order reconciler with a fake engine."""
 
     def __init__(self, log, engine):
-        settings = builders.settings()
+        settings = builders.build_settings()
         self.endpoint = builders.make_endpoint(0)
         super().__init__(
             None,
@@ -59,7 +59,7 @@
         self.engine.accept(order)
 
 
-def tree_with(model):
+def build_tree_with_model(model):
     tree = builders.build_team_tree()
     team = tree.teams['sinal-nordeste']
     service = team.services['pearrun-oficina']
@@ -94,7 +94,9 @@
         for number, step in enumerate(steps):
             log.down = {'down': True, 'up': False}.get(step, log.down)
             if step == 'publish' and not log.down:
-                await config.publish(log, STREAM, tree_with(f'm{number}'))
+                await config.publish(
+                    log, STREAM, build_tree_with_model(f'm{number}')
+                )
             elif step.startswith('reconcile'):
                 reconciler = reconcilers[step[-1]]
                 await reconciler.try_reconcile(reconciler.endpoint)
@@ -120,11 +122,11 @@
 
     async def send_newer_order():
         paused.before_send = None
-        await config.publish(log, STREAM, tree_with('new'))
+        await config.publish(log, STREAM, build_tree_with_model('new'))
         await other.reconcile(other.endpoint)
 
     async def scenario():
-        await config.publish(log, STREAM, tree_with('old'))
+        await config.publish(log, STREAM, build_tree_with_model('old'))
         paused.before_send = send_newer_order
         await paused.try_reconcile(paused.endpoint)
 
--- a/tests/test_ownreports.py
+++ b/tests/test_ownreports.py
@@ -45,15 +45,17 @@
 def test_own_demand_and_engine_samples_are_subtracted():
     own_reports = OwnReports()
     demand = Demand(2.0, 100.0, 5000.0, 600)
-    lines = RegressionSums(3.0, 30.0, 60.0, 900.0, 1800.0)
+    samples = RegressionSums(3.0, 30.0, 60.0, 900.0, 1800.0)
     own_reports.add(
-        make_report(OWN, 1, demands={'s': demand}, engines={'s': lines})
+        make_report(OWN, 1, demands={'s': demand}, engines={'s': samples})
     )
     sums = make_report(
         HUB,
         1,
         demands={'s': Demand(5.0, 300.0, 9000.0, 600)},
-        engines={'s': lines.combine(RegressionSums(1.0, 2.0, 3.0, 4.0, 5.0))},
+        engines={
+            's': samples.combine(RegressionSums(1.0, 2.0, 3.0, 4.0, 5.0))
+        },
     )
     left = own_reports.subtract_from(sums, 1)
     assert left.demands['s'] == Demand(3.0, 200.0, 4000.0, 600)
@@ -143,8 +145,8 @@
 
 def make_zone_report(run, number):
     """Return the encoded report of a busy host."""
-    spread = int(run.host[1:])
-    chosen = [ENDPOINTS[(spread * 3 + k) % 50] for k in range(3)]
+    host_number = int(run.host[1:])
+    chosen = [ENDPOINTS[(host_number * 3 + k) % 50] for k in range(3)]
     return reports.encode(
         make_report(
             run,
--- a/tests/test_peerlinks.py
+++ b/tests/test_peerlinks.py
@@ -18,10 +18,10 @@
 from tests.platformsite import run_site
 from tests.platformsite import wait_until
 from tests.test_topology import find_hubs
-from tests.test_topology import play_with_hubs
+from tests.test_topology import run_with_hubs
 
 
-def test_unreachable_hosts_are_not_down_during_startup():
+def test_unreachable_hosts_are_not_marked_down_during_startup():
     """After a loss of all hosts, hubs may be the last to listen again."""
 
     async def main():
@@ -52,7 +52,7 @@
     asyncio.run(main())
 
 
-def test_hubs_stay_hubs_when_all_hosts_have_ended_at_once(monkeypatch):
+def test_hosts_exchange_reports_soon_after_all_have_restarted(monkeypatch):
     async def scenario(site, daemons):
         names = {d.settings.name: d.settings.zone for d in daemons}
         hubs = {d.settings.name for d in find_hubs(daemons)}
@@ -71,11 +71,11 @@
                 2,
             )
 
-    play_with_hubs(scenario, monkeypatch)
+    run_with_hubs(scenario, monkeypatch)
 
 
 def test_a_host_with_an_unresponsive_peer_stops_quickly():
-    """Hosts that waited for a cut-off peer's close frame were killed."""
+    """Guards against waiting for the close frame until the host is killed."""
 
     async def main():
         async with run_site(make_config(), hosts=1) as site:
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -35,7 +35,7 @@
 
 
 def make_peers(version):
-    settings = builders.settings()
+    settings = builders.build_settings()
     follower = config.ConfigFollower(builders.FakeLog(), settings)
     follower.tree = builders.build_team_tree(version=version)
     router = Router([builders.make_endpoint(0)], 'boa-viagem')
--- a/tests/test_platform_adapter.py
+++ b/tests/test_platform_adapter.py
@@ -93,7 +93,7 @@
     return decoding.decode_configuration(raw)
 
 
-def test_configuration_finds_the_longest_prefix_and_the_key():
+def test_host_and_prefix_select_the_route_and_unknown_keys_no_customer():
     config = decode_config()
     config.routes.append(config.routes[0])
     assert config.find_route(STREAM_HOST.upper(), '/long/x').name == 'long'
@@ -186,14 +186,14 @@
 def test_events_are_complete_wherever_the_bytes_are_split():
     stream = b'id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\nda'
     for size in range(1, 12):
-        cutter = EventSplitter()
+        splitter = EventSplitter()
         whole = b''.join(
-            cutter.feed(stream[at : at + size])
+            splitter.feed(stream[at : at + size])
             for at in range(0, len(stream), size)
         )
         assert whole.endswith(b'data: b\n\n')
-        assert cutter.last_event_id == '2'
-        assert cutter.incomplete == b'id: 3\nda'
+        assert splitter.last_event_id == '2'
+        assert splitter.incomplete == b'id: 3\nda'
 
 
 def test_reports_are_decoded_as_they_were_encoded():
--- a/tests/test_platform_duties.py
+++ b/tests/test_platform_duties.py
@@ -28,7 +28,7 @@
 PLAIN = [('p1', 'plain')]
 
 
-def scaled_config(**fields):
+def make_scaled_config(**fields):
     """Return a configuration whose model service is autoscaled."""
     config = make_config(**fields)
     config['services'][1]['autoscale'] = {
@@ -114,7 +114,7 @@
 
 def test_spot_endpoints_are_ordered_before_on_demand_ones_are_released():
     async def main():
-        async with run_site(scaled_config(), PLAIN) as site:
+        async with run_site(make_scaled_config(), PLAIN) as site:
             await wait_until(lambda: site.api.list_orders())
             await asyncio.sleep(0.5)
             orders = site.api.list_orders()
@@ -128,10 +128,14 @@
 
 
 def test_a_successor_orders_by_the_recent_needs():
-    """It recorded the demand all along; by the limits it would order more."""
+    """Guards against a successor that orders by the customers' limits.
+
+    Every host records past needs.  A successor that started from the limits
+    would order more endpoints than are needed.
+    """
 
     async def main():
-        config = scaled_config()
+        config = make_scaled_config()
         config['tenants'][0]['rate_per_s'] = 5_000_000
         config['tenants'][0]['burst'] = 5_000_000
         async with run_site(config, PLAIN, hosts=3) as site:
@@ -387,7 +391,7 @@
             (daemon,) = site.hosts.values()
             scaler = daemon.duties.scaler
             scaler.updated_ms = daemon.clock.now()
-            config = scaled_config(version=2)
+            config = make_scaled_config(version=2)
             site.configure(config)
             await wait_until(lambda: daemon.host.config.version == 2)
             await scaler.act(make_term())
@@ -400,7 +404,7 @@
     """Guards against a need computed as if each endpoint had one slot."""
 
     async def main():
-        async with run_site(scaled_config(), [('m1', 'model')]) as site:
+        async with run_site(make_scaled_config(), [('m1', 'model')]) as site:
             (daemon,) = site.hosts.values()
             scaler = daemon.duties.scaler
             service = daemon.host.config.current.services['model']
--- a/tests/test_platform_path.py
+++ b/tests/test_platform_path.py
@@ -219,7 +219,7 @@
 def test_failed_call_is_retried_on_an_endpoint_that_was_slow(
     monkeypatch,
 ):
-    """A call must use an endpoint again that timed out on connect once.
+    """A call must be able to use an endpoint again after a connect time-out.
 
     Guards against a call that fails with 502, "no endpoint", 0.3 s after its
     arrival: one of two endpoints was slow to accept, the other one reset the
@@ -389,7 +389,7 @@
     run_scenario(scenario, runners=PLAIN)
 
 
-def test_host_that_shuts_down_is_removed_from_the_list():
+def test_host_that_shuts_down_is_removed_from_the_host_list():
     async def scenario(site, host):
         second = site.hosts['host-2']
         await wait_until(lambda: len(host.host.members.others()) == 1)
@@ -399,7 +399,7 @@
     run_scenario(scenario, hosts=2)
 
 
-def test_running_host_removed_from_the_list_registers_again():
+def test_running_host_removed_from_the_host_list_registers_again():
     """A removal that the store executes late may affect the next run."""
 
     async def scenario(site, host):
@@ -414,7 +414,7 @@
     run_scenario(scenario, hosts=2)
 
 
-def test_host_that_is_silent_for_long_is_removed_from_the_list(monkeypatch):
+def test_host_that_is_silent_for_long_is_removed_from_host_list(monkeypatch):
     """A host that crashed cannot deregister itself."""
 
     async def scenario(site, host):
@@ -443,7 +443,7 @@
             first = site.runners['p1']
             await asyncio.sleep(0.4)
             site.store.faults.long_polls_miss_appends = True
-            # A change ends the current long poll; the next read misses one.
+            # A change ends the current long poll; the next one misses appends.
             site.publish_runner(first)
             await asyncio.sleep(0.4)
             first.state = 'draining'
@@ -463,7 +463,7 @@
 
     async def scenario(site, host):
         site.store.faults.long_polls_miss_appends = True
-        # A change ends the current long poll; the next read misses one.
+        # A change ends the current long poll; the next one misses appends.
         site.configure(make_config(2))
         await wait_until(lambda: host.host.config.version == 2)
         await asyncio.sleep(0.2)
@@ -476,7 +476,7 @@
 
 
 def test_dead_connections_to_an_endpoint_fail_one_call_only(monkeypatch):
-    """Idle connections to an endpoint go dead at once, failing one call only.
+    """Idle connections that go dead at the same time fail only one call.
 
     Guards against non-idempotent calls that fail one after the other, one on
     each dead connection.
--- a/tests/test_pool.py
+++ b/tests/test_pool.py
@@ -42,7 +42,7 @@
             writer.close()
 
 
-def play(scenario):
+def run_scenario(scenario):
     """Run a scenario with a server and its address."""
 
     async def main():
@@ -59,12 +59,12 @@
     asyncio.run(main())
 
 
-def test_silent_connections_to_the_store_cost_only_one_call():
+def test_silent_connections_to_the_store_fail_only_one_call():
     """After a read has timed out, the other idle connections are closed.
 
-    When three connections stopped responding at once, the next two reads
-    used to reuse the other two and timed out as well, after 1 s each; a
-    drain was noticed 3 s late.
+    Guards against reads that time out one after the other: when three
+    connections stopped responding at once, the next two reads used the other
+    two and also timed out, after 1 s each; a drain was noticed 3 s late.
     """
 
     async def scenario(server, address):
@@ -75,4 +75,4 @@
             await store.read('t', 0)
         assert (await store.read('t', 0)).records == []
 
-    play(scenario)
+    run_scenario(scenario)
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -54,7 +54,7 @@
     assert set(make_suspects(*bystanders, *crashes).quarantined) == {'bad'}
 
 
-def test_of_two_calls_under_the_same_crashes_the_newer_is_quarantined():
+def test_the_newer_of_two_calls_in_the_same_crashes_is_quarantined():
     crashes = [('bad', f'e{number}', 50) for number in range(3)]
     bystanders = [('good', f'e{number}', 900) for number in range(3)]
     assert set(make_suspects(*bystanders, *crashes).quarantined) == {'bad'}
@@ -79,7 +79,7 @@
     assert 'bad' in suspects.quarantined
 
 
-def test_crashes_under_calls_that_ran_well_count_half():
+def test_crashes_under_stable_calls_count_half():
     suspects = Suspects()
     for number in range(5):
         at_ms = NOW_MS + number * 5000
@@ -218,7 +218,7 @@
 )
 
 
-def quarantine_all(events):
+def find_quarantined(events):
     """Return what is quarantined after a list of events.
 
     :param events: tuples of fingerprint, endpoint number (``None`` for an
@@ -241,7 +241,7 @@
     crashes = [item for item in events if item[1] is not None]
     mixed = [*crashes, *crashes]
     seed.shuffle(mixed)
-    assert quarantine_all(mixed) == quarantine_all(crashes)
+    assert find_quarantined(mixed) == find_quarantined(crashes)
 
 
 @settings(deadline=None)
@@ -256,9 +256,9 @@
         for suspect in suspects.suspects.values()
     )
     note = reports.SuspectNote('host-1', aged)
-    taken = reports.decode(reports.encode(note))
-    assert taken == note
-    for suspect in taken.suspects:
+    decoded = reports.decode(reports.encode(note))
+    assert decoded == note
+    for suspect in decoded.suspects:
         known = suspects.suspects[suspect.fingerprint]
         assert suspect.to_times(NOW_MS + 5000) == known
 
@@ -284,7 +284,7 @@
         assert counts.refused == 0
 
 
-def test_requests_that_crash_endpoints_are_stopped_and_others_are_not():
+def test_crashing_requests_are_stopped_and_few_others_refused():
     for seed in range(3):
         counts = Simulation(SCENARIOS['three requests crash them'], seed).run(
             SECONDS
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -306,7 +306,7 @@
     assert simulation.max_units_per_window() <= compute_allowed_units()
 
 
-def test_exhausted_limit_keeps_most_of_its_rate():
+def test_overload_still_admits_most_of_the_limit():
     simulation = Simulation(9, 5).run(4 * RATE, 20)
     served = sum(units for _, units in simulation.admitted)
     assert served >= 0.9 * RATE * 20
--- a/tests/test_quota_cost.py
+++ b/tests/test_quota_cost.py
@@ -38,7 +38,7 @@
     return calls
 
 
-def test_a_host_that_has_heard_all_hosts_keeps_its_full_share():
+def test_a_host_with_reports_of_all_hosts_keeps_its_full_share():
     """It keeps the share even while reports arrive through another hub."""
     host = make_large_fleet_host()
     now = host.clock.now()
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -78,7 +78,7 @@
     assert len(list(checks.check_lease(evidence))) == (not renewed)
 
 
-def test_sighup_at_startup_is_told_from_handled_sighup(tmp_path):
+def test_sighup_at_startup_is_distinguished_from_handled_one(tmp_path):
     settings = tmp_path / 'boot.toml'
     settings.write_text('node = 1')
 
--- a/tests/test_stale_placement.py
+++ b/tests/test_stale_placement.py
@@ -23,7 +23,7 @@
 def test_few_calls_are_late_with_any_number_of_hosts(hosts):
     """Guards against hosts that all choose the same endpoints.
 
-    There are 484 calls per second on 60 endpoints of 12 slots each. If all
+    There are 484 calls per second on 60 endpoints of 12 slots each.  If all
     hosts choose the best endpoint by outdated reports, half of the long
     prompts and a third of the short ones are late.
     """
@@ -42,11 +42,11 @@
     assert rows['query'][0] < 0.05
 
 
-def make_candidates(reading):
+def make_candidates(queued):
     """Return endpoints with eight slots and the given queued tokens."""
     return [
         placement.Candidate(f'e{number}', True, 8, 0, tokens)
-        for number, tokens in enumerate(reading)
+        for number, tokens in enumerate(queued)
     ]
 
 
@@ -78,8 +78,8 @@
     demand = placement.CallDemand(8000, 'subject', 5000)
     candidates = make_candidates([0, 0, 0, 0])
     candidates[2].cached_tokens = 5000
-    for reading, stays in ((0, True), (2000, True), (90_000, False)):
-        candidates[2].queued_tokens = reading
+    for queued, stays in ((0, True), (2000, True), (90_000, False)):
+        candidates[2].queued_tokens = queued
         best, _ = placement.choose(
             candidates, demand, MODEL, SETTINGS, unreported
         )
--- a/tests/test_topology.py
+++ b/tests/test_topology.py
@@ -109,7 +109,7 @@
         assert reached == set(plans)
 
 
-def play_with_hubs(scenario, monkeypatch, runners=(), hosts=6):
+def run_with_hubs(scenario, monkeypatch, runners=(), hosts=6):
     """Run a scenario on hosts in two zones that use hubs."""
     monkeypatch.setattr(topology, 'MAX_MESH_HOSTS', 2)
 
@@ -170,7 +170,7 @@
                 lambda daemon=daemon: not daemon.host.loads.get('m1').calls
             )
 
-    play_with_hubs(scenario, monkeypatch, [('m1', 'model')])
+    run_with_hubs(scenario, monkeypatch, [('m1', 'model')])
 
 
 def test_usage_of_all_hosts_reaches_lease_holder(
@@ -182,7 +182,7 @@
             assert answer.status == 200
         await wait_until(lambda: count_reported(site) == 2 * len(daemons), 8)
 
-    play_with_hubs(scenario, monkeypatch, [('p1', 'plain')])
+    run_with_hubs(scenario, monkeypatch, [('p1', 'plain')])
 
 
 def count_reported(site):
@@ -224,7 +224,7 @@
         # If all six hosts read the list themselves, they make about 40 reads.
         assert count_reads(site) <= 18
 
-    play_with_hubs(scenario, monkeypatch)
+    run_with_hubs(scenario, monkeypatch)
 
 
 def test_one_host_per_zone_reads_host_list(
@@ -253,7 +253,7 @@
         # If all eight hosts read the list themselves, they make 30 reads.
         assert reads <= 18
 
-    play_with_hubs(scenario, monkeypatch, hosts=8)
+    run_with_hubs(scenario, monkeypatch, hosts=8)
 
 
 def test_one_host_of_small_fleet_reads_endpoints():
@@ -335,7 +335,7 @@
                 )
         assert (await pending_call).status == 200
 
-    play_with_hubs(scenario, monkeypatch)
+    run_with_hubs(scenario, monkeypatch)
 
 
 def test_shrunken_fleet_becomes_full_mesh(monkeypatch):
@@ -353,7 +353,7 @@
             )
         await pending_call
 
-    play_with_hubs(scenario, monkeypatch, [('m1', 'model')])
+    run_with_hubs(scenario, monkeypatch, [('m1', 'model')])
 
 
 def test_configuration_reaches_host_without_store_through_hub(
@@ -371,4 +371,4 @@
         await site.add_runner('late', 'plain')
         await wait_until(lambda: 'late' in isolated.host.fleet.endpoints)
 
-    play_with_hubs(scenario, monkeypatch)
+    run_with_hubs(scenario, monkeypatch)
--- a/tests/test_usage_saving.py
+++ b/tests/test_usage_saving.py
@@ -58,7 +58,7 @@
 
 
 class UsageMachine(RuleBasedStateMachine):
-    """Hosts count, report, save, get killed and take over the lease."""
+    """Hosts count, report, save, are killed and take over the lease."""
 
     def __init__(self):
         super().__init__()
@@ -74,7 +74,7 @@
 
     @initialize()
     def begin(self):
-        self.succeed()
+        self.take_over()
 
     @rule(host=st.sampled_from(HOSTS), count=st.integers(1, 5))
     def count_calls(self, host, count):
@@ -104,7 +104,7 @@
             self.started[name] += 1
 
     @rule()
-    def succeed(self):
+    def take_over(self):
         """Another host takes the lease and starts with an empty table."""
         self.table = UsageTable()
         self.saver = UsageSaver(self.table, self.log)
@@ -118,7 +118,7 @@
         """All hosts are killed at once, just after a save."""
         self.save()
         self.kill(set(HOSTS))
-        self.succeed()
+        self.take_over()
 
     @rule()
     def commit(self):
@@ -141,15 +141,15 @@
             assert total <= self.actual[window]
 
 
-class UsageWithoutSuccession(UsageMachine):
+class UsageSavedBeforeTakeover(UsageMachine):
     """All counts saved or reported are committed, whoever is killed."""
 
     @rule()
-    def succeed(self):
+    def take_over(self):
         """Take over after the former holder has saved all counts."""
         if self.fencing:
             self.save()
-        super().succeed()
+        super().take_over()
 
     @invariant()
     def only_what_was_not_reported_is_lost(self):
@@ -158,7 +158,7 @@
 
 
 TestUsage = UsageMachine.TestCase
-TestUsageSaved = UsageWithoutSuccession.TestCase
+TestUsageSaved = UsageSavedBeforeTakeover.TestCase
 for case in (TestUsage, TestUsageSaved):
     case.settings = settings(max_examples=60, stateful_step_count=30)
 
@@ -179,7 +179,7 @@
 
 
 def test_counts_from_before_the_loss_of_all_hosts_are_reported():
-    """The first holder after the loss reports them."""
+    """The first lease holder after the loss reports the saved counts."""
 
     async def main():
         async with run_site(make_config(), PLAIN, hosts=3) as site:
@@ -201,7 +201,7 @@
 
 
 def test_a_slow_platform_blocks_neither_the_lease_nor_orders():
-    """Its API takes 0.5 s per call, and orders go to many zones."""
+    """The API takes 0.5 s per call, and orders go to many zones."""
 
     async def main():
         config = make_config()
