--- a/pearrun/cli.py
+++ b/pearrun/cli.py
@@ -242,7 +242,7 @@
     """Return the coroutine of the command named by the arguments.
 
     :param args: command-line arguments without program name and flags.
-    :raises UsageError: they name no command.
+    :raises UsageError: the arguments name no known command.
     """
     match args:
         case ['help']:
--- a/pearrun/decisions/avoidance.py
+++ b/pearrun/decisions/avoidance.py
@@ -13,8 +13,9 @@
 # platform's endpoint list takes to show that an endpoint is gone.
 INITIAL_PAUSE_MS = 300
 MAX_PAUSE_MS = 4000
-# Consecutive failed calls on established connections that start a pause.  A
-# plain service fails 14 of 100 calls in normal operation.
+# A pause starts after this many consecutive failed calls on established
+# connections.  A plain service, one without a model engine, fails 14 of 100
+# calls in normal operation.
 FAILURE_THRESHOLD = 4
 
 # Number of unresponsive endpoints in a zone, without a response from the zone
--- a/pearrun/decisions/quota.py
+++ b/pearrun/decisions/quota.py
@@ -37,8 +37,8 @@
 # A host without reports for this long is assumed to continue at its last rate.
 REPORT_TIMEOUT_MS = 600
 # Initial level of a bucket as a fraction of this host's share of the burst,
-# since usage before its start is unknown.  A lower level rejects calls of
-# customers below their limits after a restart of all hosts.
+# since usage before this host started is unknown.  A lower level rejects calls
+# of customers below their limits after a restart of all hosts.
 INITIAL_LEVEL_SHARE = 0.5
 # After its start, a host uses the share of the limit that corresponds to the
 # hosts that have reported to it, times this factor.  Otherwise hosts that
@@ -197,9 +197,9 @@
         usage.reported_ms = now_ms
 
     def forget(self, peer):
-        """Remove a host that has ended.
+        """Remove a peer whose run has ended.
 
-        :returns: the units that it was assumed to have used.
+        :returns: the units that it used, including assumed ones.
         """
         usage = self.peers.pop(peer, None)
         return usage.used if usage else 0.0
--- a/pearrun/http1/pool.py
+++ b/pearrun/http1/pool.py
@@ -38,7 +38,7 @@
         """Return an idle connection or a new one.
 
         :returns: a :class:`ClientConnection`.
-        :raises EndpointUnreachableError: none could be opened.
+        :raises EndpointUnreachableError: no connection could be opened.
         :raises OverloadedError: all connections are in use.
         """
         connection = self._pop_idle()
--- a/pearrun/http1/server.py
+++ b/pearrun/http1/server.py
@@ -113,7 +113,7 @@
         """Close at once; the caller sees a started response as incomplete."""
         self.transport.abort()
 
-    # the connection's task
+    # Methods that run in the connection's own task.
 
     async def _serve(self):
         try:
--- a/pearrun/platform/codec.py
+++ b/pearrun/platform/codec.py
@@ -150,7 +150,7 @@
 
     :param value: a comma-separated list of ``ID:TOKENS``, or ``None``.
     :returns: a tuple of :class:`PromptPart`.
-    :raises ValueError: it is malformed.
+    :raises ValueError: the list is malformed.
     """
     parts = []
     for entry in (value or '').split(','):
--- a/pearrun/platform/daemon.py
+++ b/pearrun/platform/daemon.py
@@ -131,7 +131,8 @@
     def make_duty_notice(self):
         """Return a notice for other hosts that this host holds the lease.
 
-        :returns: a :class:`DutyNotice`; ``None`` if it does not hold it.
+        :returns: a :class:`DutyNotice`; ``None`` if this host does not hold
+            the lease.
         """
         if not self.duties.holds():
             return None
--- a/pearrun/platform/decoding.py
+++ b/pearrun/platform/decoding.py
@@ -32,7 +32,7 @@
 
     :param raw: the record's bytes.
     :returns: a :class:`Configuration`.
-    :raises WireFormatError: it is malformed.
+    :raises WireFormatError: the record is malformed.
     """
     try:
         body = json.loads(raw)
@@ -152,13 +152,13 @@
 def decode_endpoint(name, raw):
     """Decode an endpoint's entry.
 
-    The topic may hold records of other writers.  A record that lacks a
-    required field, or has a field of the wrong type, is not an endpoint's.
+    Programs other than endpoints may write to the topic.  A record that lacks
+    a required field, or has a field of the wrong type, is rejected.
 
     :param name: the record's key.
     :param raw: the record's bytes.
     :returns: an :class:`EndpointRecord`.
-    :raises WireFormatError: it is malformed.
+    :raises WireFormatError: the record is malformed.
     """
     try:
         item = json.loads(raw)
@@ -191,7 +191,7 @@
 def check_address(address):
     """Check that an address is ``IP:PORT``.
 
-    :raises ValueError: it is not.
+    :raises ValueError: the address has another form.
     """
     ip, _, port = address.rpartition(':')
     ipaddress.ip_address(ip)
@@ -202,7 +202,7 @@
 def get_count(item, name):
     """Return an integer field that must be at least 1.
 
-    :raises ValueError: it is less than 1.
+    :raises ValueError: the field is less than 1.
     """
     count = get_typed(item, name, int)
     if count < 1:
@@ -214,8 +214,8 @@
     """Return a field after checking its type.
 
     :param kinds: a type or a tuple of types.
-    :param default: value of a missing field; without it, the field is
-        required.
+    :param default: value of a missing field; if it is not given, the field
+        is required.
     :raises KeyError: a required field is missing.
     :raises TypeError: the field has the wrong type.
     """
--- a/pearrun/platform/followers.py
+++ b/pearrun/platform/followers.py
@@ -66,7 +66,7 @@
                 await backoff.pause()
 
     async def _read_once(self):
-        """Read a snapshot if there is none yet, else changes, once."""
+        """Read a snapshot the first time, and the changes since then later."""
         if self.position is None:
             await self._read_newest()
             return
@@ -226,11 +226,11 @@
 
     def _mark_reachable(self):
         super()._mark_reachable()
-        self.host.config.has_reader = True
+        self.host.config.is_polling_store = True
 
     def _mark_unreachable(self, exc):
         super()._mark_unreachable(exc)
-        self.host.config.has_reader = False
+        self.host.config.is_polling_store = False
 
     def apply_snapshot(self, records, read_start_ms):
         """See :class:`Follower`."""
@@ -245,6 +245,6 @@
                 )
                 if config is not None:
                     self.host.config.offer(config, 'store')
-        # An empty read confirms that nothing was written until it ended.
+        # A read without records confirms that none was written until it ended.
         newest_ms = read_start_ms if records else self.host.clock.now()
         self.host.config.confirm(newest_ms)
--- a/pearrun/relay/exchange.py
+++ b/pearrun/relay/exchange.py
@@ -122,7 +122,8 @@
         """Read response heads until one belongs to this call.
 
         :returns: ``(head, kind)``.
-        :raises BackendError: the connection broke, or none belonged to it.
+        :raises BackendError: the connection broke, or only responses to other
+            calls were received.
         """
         for _ in range(MAX_STRAY_RESPONSES):
             head = await self.connection.read_head()
--- a/pearrun/shared/activeconfig.py
+++ b/pearrun/shared/activeconfig.py
@@ -8,8 +8,8 @@
 
     ``confirmed_ms`` is the last time at which this version was known to be
     the newest, from the store or from a peer that had read it there.
-    ``has_reader`` tells whether this host is reading new versions from the
-    store, where a long poll is then open.  ``listeners`` are called with each
+    ``is_polling_store`` tells whether this host keeps a long poll for newer
+    versions open at the store.  ``listeners`` are called with each
     configuration that is adopted.
     """
 
@@ -18,7 +18,7 @@
         self.current = None
         self.confirmed_ms = None
         self.listeners = []
-        self.has_reader = False
+        self.is_polling_store = False
 
     @property
     def version(self):
@@ -39,12 +39,12 @@
         self.confirmed_ms = max(self.confirmed_ms or 0, at_ms)
 
     def confirm_while_polling(self, at_ms):
-        """Record that the store answered some other read at a given time.
+        """Record that the store answered a read of another topic.
 
-        If a long poll for a newer version was open then, no newer version
-        existed.
+        If a long poll for a newer version was open at that time, no newer
+        version existed.
         """
-        if self.has_reader:
+        if self.is_polling_store:
             self.confirm(at_ms)
 
     def offer(self, config, source):
--- a/pearrun/shared/crashdetector.py
+++ b/pearrun/shared/crashdetector.py
@@ -20,16 +20,16 @@
 from pearrun.ids import ZoneName
 from pearrun.states import EndpointState
 
-# If a read started at least this long after an endpoint was found down, the
-# heartbeats it returns were sent after that time.  Reads are separated by
+# If a read started at least this long after an endpoint was found to be down,
+# the heartbeats it returns were sent after that time.  Reads are separated by
 # pauses, and each returns everything written since the previous one.
 READ_MARGIN_MS = 400
 # Maximum delay of a heartbeat, as a fraction of the heartbeat interval.
 HEARTBEAT_JITTER = 0.25
-# A long poll that returns a heartbeat may have started this long before it;
-# reads are dated by their start.
+# A long poll may start this long before the heartbeat that it returns is sent;
+# its start counts as the time of the read.
 READ_LEAD_MS = 300
-# If the endpoint list is older than this, it counts as unreadable.
+# An endpoint list older than this is considered unreadable.
 LIST_STALE_MS = 2500
 # How long an outage and its broken calls are kept.
 EXPIRY_MS = 10_000
@@ -79,12 +79,13 @@
 
 
 class CrashDetector:
-    """Detects crashes from broken and refused connections and heartbeats.
+    """Detects crashes from heartbeats and from broken or refused connections.
 
-    ``handle_crashes`` is a callback that gets pairs of a fingerprint and a
-    :class:`Crash`: first when an endpoint is found down, and again when its
-    crash is proven.  ``retract_crash`` is a callback that gets the id of an
-    endpoint that turned out not to have crashed.
+    ``handle_crashes`` is a callback that gets pairs of a request's
+    fingerprint and a :class:`Crash`: first when the endpoint is found to
+    be down, and again when its crash is proven.  ``retract_crash`` is a
+    callback that gets the id of an endpoint that turned out not to have
+    crashed.
 
     :param fleet: the :class:`Fleet`.
     :param zone: this host's failure domain.
@@ -127,7 +128,8 @@
     def note_heartbeat(self, endpoint_id, asked_ms):
         """Record a heartbeat of an endpoint.
 
-        It rules out a crash if it was sent after the endpoint was found down.
+        A heartbeat sent after the endpoint was found to be down rules out a
+        crash.
 
         :param asked_ms: start of the read that returned the heartbeat.
         """
--- a/pearrun/shared/duties.py
+++ b/pearrun/shared/duties.py
@@ -94,7 +94,7 @@
         return self.left_ms() > 0
 
     def left_ms(self):
-        """Return the remaining milliseconds of the lease; 0 without it."""
+        """Return the remaining milliseconds of the lease; 0 if not held."""
         return Term(self.view, self.clock).left_ms()
 
     async def _maintain_lease(self):
@@ -175,7 +175,7 @@
             )
 
     def _find_term(self):
-        """Return the current :class:`Term`; ``None`` without the lease."""
+        """Return the current :class:`Term`, or ``None`` if not the holder."""
         if self.host.stopping or not self.holds():
             return None
         if self.term is None or self.term.fencing != self.view.fencing:
@@ -198,8 +198,8 @@
         if term is None:
             return
         if self.usage_saver.term is term:
-            # Only after the counts that a former holder saved are restored:
-            # without them the report would be incomplete.
+            # The counts that a former holder saved have been restored; without
+            # them the report would be incomplete.
             await self._commit_usage()
         await self._deliver_usage(term)
 
--- a/pearrun/shared/feed.py
+++ b/pearrun/shared/feed.py
@@ -66,8 +66,8 @@
     def repeat(self, changes):
         """Send the end offset of a read periodically until the next change.
 
-        From it, a host whose link was down when a change was sent learns that
-        it has missed the change.
+        A host whose link was down when a change was sent detects by this
+        offset that it has missed the change.
 
         :param changes: the last :class:`Changes`; ``None`` to stop.
         """
@@ -115,11 +115,11 @@
         )
 
     async def wait(self, position, until_ms):
-        """Return the next batch from an offset.
+        """Wait for the next batch that does not end before an offset.
 
         :param until_ms: deadline, by this host's clock.
-        :returns: :class:`Changes`; ``None`` if none arrived before the
-            deadline, or if changes before them are missing.
+        :returns: the batch as :class:`Changes`; ``None`` if none arrived
+            before the deadline, or if changes just before it are missing.
         """
         self.has_gap = False
         while True:
@@ -136,7 +136,7 @@
                 return None
 
     def _pop_batch(self, position):
-        """Return the first batch that does not end before an offset."""
+        """Return the next batch; discard those that end before an offset."""
         while self._received:
             batch = self._received.popleft()
             if batch.next >= position:
--- a/pearrun/shared/fleet.py
+++ b/pearrun/shared/fleet.py
@@ -40,10 +40,10 @@
 
     @functools.cached_property
     def id(self):
-        """The id of this start, unique among the starts of the endpoint.
+        """The id of the endpoint's process; each restart gives a new one.
 
-        Cached prompts, calls, pauses and connections are keyed by it, so
-        that state of one start is not attributed to another.
+        Cached prompts, calls, pauses and connections are keyed by the id, so
+        that the state of a former process is not attributed to its successor.
         """
         if not self.started_ms:
             return EndpointId(self.name)
@@ -68,7 +68,7 @@
 
     @property
     def id(self):
-        """The id of this start of the endpoint."""
+        """The id of the endpoint's process; each restart gives a new one."""
         return self.record.id
 
 
@@ -85,7 +85,7 @@
         self._starts = collections.OrderedDict()
 
     def is_outdated(self, record):
-        """Return whether a later start than the record's is already known."""
+        """Return whether the endpoint has restarted since the record."""
         return record.started_ms < self._starts.get(record.name, 0)
 
     def find(self, name):
--- a/pearrun/shared/host.py
+++ b/pearrun/shared/host.py
@@ -87,11 +87,12 @@
         )
 
     def list_age_ms(self, now_ms):
-        """Return the time since the endpoint list was known to be complete.
+        """Return the age of this host's copy of the endpoint list.
 
-        Later changes may not have reached this host.
+        Changes made during that time may be missing from the copy.
 
-        :returns: milliseconds; ``None`` before the first list was read.
+        :returns: milliseconds since the copy was last known to be complete;
+            ``None`` before the first list was read.
         """
         listed_ms = self.fleet.listed_ms
         return None if listed_ms is None else now_ms - listed_ms
--- a/pearrun/shared/members.py
+++ b/pearrun/shared/members.py
@@ -60,8 +60,8 @@
     def list_silent(self, silent_ms):
         """Return the other hosts that have not reported for some time.
 
-        :returns: names; none if more than half of the other hosts are
-            silent, since then this host is assumed to be cut off itself.
+        :returns: names of hosts.  If more than half of the others are silent,
+            this host is assumed to be disconnected, and the list is empty.
         """
         silent = [
             member.name
--- a/pearrun/shared/quotas.py
+++ b/pearrun/shared/quotas.py
@@ -120,10 +120,10 @@
                 ended[name] = ended.get(name, 0.0) + units
 
     def sum_zone(self, zone, own):
-        """Return what the hosts of a zone admitted, as known on this host.
+        """Return the units that a zone's hosts admitted, as far as known.
 
-        Hosts that send no reports are assumed to admit units at their last
-        rate, as in this host's own buckets.
+        A host that stops reporting is assumed to continue at its last rate,
+        as in the calculation of the bucket levels.
 
         :param own: this host's own :class:`AdmittedUnits` by customer.
         :returns: :class:`AdmittedUnits` by customer.  Units admitted before
@@ -163,7 +163,7 @@
         }
 
     def _get_lag_s(self):
-        """Return the age in seconds that other hosts' reports have here."""
+        """Return the age of other hosts' reports when used, in seconds."""
         return quota.HUB_LAG_S if self.feed.through_hubs else quota.MESH_LAG_S
 
     def _compute_share(self, now):
--- a/pearrun/shared/reporter.py
+++ b/pearrun/shared/reporter.py
@@ -8,13 +8,14 @@
 from pearrun.shared.loads import Load
 from pearrun.shared.run import Run
 
-# Number of latest usage windows in each note; their counts may still change.
+# Number of latest usage windows in each :class:`UsageNote`; their counts may
+# still change.
 REPORTED_USAGE_WINDOWS = 3
 # Interval of the rounds, unless one is triggered earlier.  With older loads,
 # hosts place several calls on one endpoint; shorter intervals take more
 # processor time on all receiving hosts.
 ROUND_MS = 200
-# The same during the first ``STARTUP_MS`` after a start: until a host has
+# Interval during the first ``STARTUP_MS`` after a host starts: until it has
 # received the reports of the others, which takes three rounds through hubs,
 # it may use only a small part of each customer's limit.
 STARTUP_ROUND_MS = 50
@@ -32,8 +33,8 @@
     :param own: this host's report.
     :param usage: its counts of calls.
     :param feeds: topic changes that this host has read from the store.
-    :param suspects: requests under which endpoints crashed, if any have to
-        be sent.
+    :param suspects: requests that were running when endpoints crashed, if
+        any have to be sent.
     :param zone: sums for its zone; ``None`` if it is not a hub.
     :param coverage: which reports the sums include; ``None`` if it is not a
         hub.
@@ -52,7 +53,9 @@
 
 
 class Reporter:
-    """Creates the rounds and selects the messages for each link.
+    """Encodes this host's reports and selects the messages for each link.
+
+    The messages that are due at one time form a :class:`Round`.
 
     :param host: shared objects of this host.
     :param started_ms: when this host started, in Unix milliseconds.
@@ -139,7 +142,7 @@
         if not sums:
             return [current.own, *shared]
         if self.receiver.acts_as_hub(member.name):
-            # The peer computes the zone's sums itself.
+            # A peer that is a hub computes the zone's sums itself.
             return [current.own, *current.zone_reports, *shared]
         return [current.coverage, *sums, *shared]
 
@@ -161,7 +164,8 @@
     async def _wait_until_due(self):
         """Wait until a round is due or triggered.
 
-        In either case the link gets time to transmit the previous round.
+        A triggered round, too, waits until the link has had time to transmit
+        the previous one.
         """
         try:
             async with asyncio.timeout(to_seconds(self._round_interval_ms())):
--- a/pearrun/shared/reportreceiver.py
+++ b/pearrun/shared/reportreceiver.py
@@ -15,8 +15,8 @@
 # one: four missed rounds.
 HUB_TIMEOUT_MS = 1000
 # A host acts as a hub for this long after another host has sent it a report,
-# and peers consider it a hub for this long after it has said so.  Ten rounds,
-# so that a few lost ones do not matter.
+# and its peers treat it as a hub for this long after it has last said so.  The
+# time covers ten rounds, so that a few lost ones have no effect.
 HUB_ROLE_MS = 2000
 # Older notices of the lease are not forwarded.
 NOTICE_VALID_MS = 600
@@ -122,8 +122,9 @@
         """Apply a hub's sums for its zone."""
         run = report.run
         if report.duty is not None:
-            # Recorded even if another hub's sums are used: the lease holder
-            # must not appear lost while the zone's hub changes.
+            # The notice is recorded even if another hub's sums are used.
+            # Otherwise the lease holder would be considered lost while the
+            # zone changes its hub.
             self._record_duty(report.duty, self.clock.now())
         if not self._select_hub(run):
             return
@@ -146,9 +147,10 @@
                 self.host.members.note_report(name)
 
     def _find_covered(self, hub):
-        """Return the number of the own report that a hub's sums include.
+        """Return which report of this host a hub's sums include.
 
-        :returns: the number, or ``None`` if they include none.
+        :returns: its sequence number; ``None`` if the sums include no report
+            of this host's current run.
         """
         numbers = self._coverage.get(hub, {})
         run = self.own_reports.run
@@ -158,7 +160,7 @@
     def _record_sender(self, report, bundle):
         """Record the wall-clock time of the host at the link's other end.
 
-        In a forwarded report it would be several rounds old.
+        Forwarded reports are left out: their time is several rounds old.
         """
         if report.run.host == bundle.sender:
             self.host.members.note_report(bundle.sender)
@@ -278,9 +280,10 @@
         return self.config_versions.get(name)
 
     def get_last_notice_ms(self):
-        """Return when the latest notice of the lease was created.
+        """Return when the lease holder created its latest notice.
 
-        :returns: milliseconds by this host's clock; ``None`` without any.
+        :returns: milliseconds by this host's clock; ``None`` if no notice was
+            received.
         """
         return max(
             (latest_ms for latest_ms, _ in self.duty_notices.values()),
--- a/pearrun/shared/reports.py
+++ b/pearrun/shared/reports.py
@@ -37,9 +37,9 @@
 class DutyNotice:
     """Notice that a host holds the lease for the cluster-wide duties.
 
-    :param fencing: its fencing token.
+    :param fencing: fencing token of the lease.
     :param log_end: end offset of the lease log after its last record.
-    :param age_ms: age of the notice since the holder itself created it.
+    :param age_ms: time since the holder created the notice.
     """
 
     holder: HostName
@@ -133,7 +133,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class SuspectNote:
-    """Requests under which endpoints crashed, as known to the sender.
+    """Requests that were running when endpoints crashed.
 
     :param host: the sender.
     :param suspects: :class:`Suspect` objects with ages at the time of
--- a/pearrun/shared/scaler.py
+++ b/pearrun/shared/scaler.py
@@ -69,11 +69,11 @@
         self.planned_ms = now
         for service in self._list_scaled_services():
             if service.name not in self.need_history:
-                # Added to the configuration after the needs were last
-                # recorded.
+                # The service was added to the configuration after the needs
+                # were last recorded.
                 continue
             orders = self._plan(service, now)
-            # Concurrently: the platform may take a second for each.
+            # Sent concurrently: the platform may take a second for each.
             await asyncio.gather(
                 *(self._send(order, term, now) for order in orders)
             )
--- a/pearrun/shared/selection.py
+++ b/pearrun/shared/selection.py
@@ -140,10 +140,10 @@
         )
 
     def take_placements(self):
-        """Return the prompt placements since the last call of this method.
+        """Return and clear the prompt placements that are not reported yet.
 
         :returns: a tuple of :class:`PromptPlacement`, with the ids of the
-            shared parts.
+            prompt parts that several calls share.
         """
         placements, self._placements = self._placements, []
         return tuple(placements)
--- a/pearrun/shared/term.py
+++ b/pearrun/shared/term.py
@@ -34,7 +34,7 @@
     def check(self):
         """Check that the term has not ended.
 
-        :raises LeaseEndedError: it has ended.
+        :raises LeaseEndedError: the term has ended.
         """
         if not self.holds():
             raise exceptions.LeaseEndedError(
--- a/pearrun/shared/usage.py
+++ b/pearrun/shared/usage.py
@@ -1,4 +1,4 @@
-"""Counts of calls that endpoints started, by customer and time window."""
+"""Counts of calls begun by endpoints, by customer and time window."""
 
 # Past windows kept; a report is due two windows after the end of its window.
 KEPT_WINDOWS = 8
