--- a/pearrun/decisions/placement.py
+++ b/pearrun/decisions/placement.py
@@ -161,9 +161,9 @@
 
     The endpoint with the least time is the best choice only if no other host
     chooses it at the same time.  With unreported load, the endpoint is drawn
-    at random instead.  The probability of each is the share of that load
-    which it would get if all of it were placed so as to even out the expected
-    times.
+    at random instead.  The probability of each endpoint is the share of that
+    load that it would get if the load were distributed so as to even out the
+    expected times.
 
     :param candidates: a list of :class:`Candidate`.
     :param model: the :class:`EngineModel` of their service.
--- a/pearrun/decisions/quarantine.py
+++ b/pearrun/decisions/quarantine.py
@@ -24,7 +24,7 @@
 class QuarantineSettings:
     """Limits of the quarantine.
 
-    :param min_crashes: total weight of the crashes under a request from which
+    :param min_crashes: minimum total weight of a request's crashes for which
         it is quarantined; see :meth:`Suspect.weigh`.
     :param trust_ms: time after a successful run during which crashes are not
         counted.
--- a/pearrun/decisions/quota.py
+++ b/pearrun/decisions/quota.py
@@ -134,7 +134,7 @@
 class PeerUsage:
     """Usage of one customer as reported by another host.
 
-    :param base: the total at its first report, which is not counted here.
+    :param base: the total at its first report; those units are not counted.
     :param total: units admitted since the start of that host.
     :param rate: recent units per second.
     :param assumed: units assumed to be used since its last report.
--- a/pearrun/decisions/scaling.py
+++ b/pearrun/decisions/scaling.py
@@ -13,7 +13,7 @@
 import dataclasses
 import math
 
-# Places of a zone that are never given to on-demand endpoints.
+# Number of places in each zone that are reserved for reclaimable endpoints.
 RECLAIMABLE_RESERVE = 2
 
 
--- a/pearrun/http1/server.py
+++ b/pearrun/http1/server.py
@@ -153,7 +153,7 @@
     async def _read_request(self, limits):
         """Read a complete request.
 
-        :returns: a :class:`Request`; ``None`` if the caller sent none.
+        :returns: a :class:`Request`; ``None`` if no request was received.
         :raises RejectedError: the request violates the protocol or a limit.
         """
         head = await self._read_head(limits)
--- a/pearrun/platform/endpointlist.py
+++ b/pearrun/platform/endpointlist.py
@@ -53,12 +53,12 @@
         )
 
     def get_read_deadline_ms(self):
-        """Return when the list reaches its maximum age, whoever read it.
+        """Return when the list reaches its maximum age.
 
-        The limit applies to the age of the data, not to the time since the
-        reading host was last heard: a forwarded read that missed a drain
-        would restart that timer, and its long-poll wait would add to the
-        delay.
+        The limit applies to the age of the data, also if another host read
+        them, not to the time since that host last sent a message.  Otherwise
+        a forwarded read that missed a drain would restart the timer, and its
+        long-poll wait would add to the delay.
         """
         return self.host.fleet.listed_ms + self.max_list_age_ms
 
--- a/pearrun/platform/followers.py
+++ b/pearrun/platform/followers.py
@@ -178,7 +178,8 @@
         if changes is not None:
             self._apply_forwarded(changes)
         elif self.feed.has_gap or self.host.clock.now() >= deadline_ms:
-            # Not a long poll: it may miss a record written as it begins.
+            # The read does not wait: a long poll may miss a record that is
+            # written while the poll begins.
             await self._read_changes(wait_ms=0)
 
     async def _read_changes(self, wait_ms):
--- a/pearrun/platform/membership.py
+++ b/pearrun/platform/membership.py
@@ -17,8 +17,9 @@
 # store itself only if the list is older than this.  The other host's reads
 # wait up to LONG_POLL_MS.
 MAX_LIST_AGE_MS = LONG_POLL_MS + 5000
-# Maximum age of the list while no other host forwards changes.  Whether one
-# does is known from the list of endpoints, which it forwards every second.
+# Maximum age of the list while no other host forwards changes.  A host that
+# forwards them also forwards the list of endpoints, every second, by which the
+# others know that it is active.
 LOCAL_READ_INTERVAL_MS = 3000
 # Timeout of the removal of a host's own entry during its shutdown; less than
 # the time that the daemon reserves before the platform kills the process.
--- a/pearrun/platform/quarantinelog.py
+++ b/pearrun/platform/quarantinelog.py
@@ -15,7 +15,7 @@
 TOPIC = 'quarantine'
 # Pause between reads, while no other host reads for the zone.
 READ_PAUSE_MS = 1000
-# How often unsaved requests are looked for.
+# Interval of checks for quarantined requests that are not saved yet.
 SAVE_INTERVAL_MS = 250
 SAVE_RETRY_MS = 1000
 
@@ -40,8 +40,8 @@
 
     async def _read_once(self):
         if self.position is not None and self._has_remote_reader():
-            # Changes are not followed meanwhile, so a new snapshot is needed
-            # once no other host forwards them.
+            # While another host forwards changes, this one does not follow the
+            # topic, so it needs a new snapshot afterwards.
             self.position = None
             await self._wait_for_reader_loss()
         await super()._read_once()
--- a/pearrun/platform/store.py
+++ b/pearrun/platform/store.py
@@ -35,9 +35,9 @@
 READ_TIMEOUT_MS = 300
 MAX_TIMEOUT_DOUBLINGS = 2
 MAX_BODY_BYTES = 8 * 1024 * 1024
-# Precedes each record.
+# Length in bytes, which precedes each record.
 RECORD_LENGTH = struct.Struct('>I')
-# Precedes the records in the response to a read: end and first offset.
+# End and first offset, which precede the records in the response to a read.
 READ_BOUNDS = struct.Struct('>QQ')
 
 
--- a/pearrun/shared/crashdetector.py
+++ b/pearrun/shared/crashdetector.py
@@ -108,7 +108,7 @@
 
         :param endpoint: the :class:`Endpoint`.
         :param broken: the :class:`BrokenCall`.
-        :returns: whether the endpoint should be probed for being down.
+        :returns: whether to check by a probe that the endpoint is down.
         """
         outage = self._find_outage(endpoint.id)
         if outage is None:
--- a/pearrun/shared/duties.py
+++ b/pearrun/shared/duties.py
@@ -133,7 +133,7 @@
             self._log_lease_change()
 
     def _monitor_from_ms(self):
-        """Return when to start monitoring the log without new notices.
+        """Return when to start monitoring the log if no notices arrive.
 
         In a large fleet the hubs start first.  If all hosts read the log
         after the holder is lost, every read is charged, although only one
--- a/pearrun/shared/fleet.py
+++ b/pearrun/shared/fleet.py
@@ -19,9 +19,9 @@
 
 @dataclasses.dataclass(frozen=True)
 class EndpointRecord:
-    """The platform's entry for one process start of an endpoint.
+    """The platform's entry for one process of an endpoint.
 
-    :param name: the platform's name for it, which a later start may reuse.
+    :param name: the endpoint's name, which a later process may reuse.
     :param reclaimable: whether the platform may reclaim it.
     :param leaves_ms: milliseconds until a reclaim; ``None`` if unknown.
     :param started_ms: when its process started, in Unix milliseconds; 0
--- a/pearrun/shared/members.py
+++ b/pearrun/shared/members.py
@@ -32,8 +32,8 @@
     list has been read.  ``reporting`` holds the names of hosts from which a
     report was received and whose process is not known to have ended since.
     ``last_seen_ms`` holds, by host, the time of its last report or
-    registration.  ``remote_zone_counts`` holds, by other zone, the number
-    of hosts that the zone's hub receives reports from.
+    registration.  ``remote_zone_counts`` holds, for each other zone, the
+    number of hosts that the zone's hub receives reports from.
     """
 
     def __init__(self, clock, own_name):
--- a/pearrun/shared/ownreports.py
+++ b/pearrun/shared/ownreports.py
@@ -43,8 +43,8 @@
         """Subtract this host's contribution from a hub's sums.
 
         :param sums: the hub's :class:`HostReport` of the whole zone.
-        :param number: number of the own report that they cover; ``None``
-            if they cover none.
+        :param number: sequence number of this host's report that they cover;
+            ``None`` if they cover none.
         :returns: the sums of the other hosts; ``None`` if the covered
             report is no longer kept.
         """
@@ -67,9 +67,9 @@
     def _subtract_own_admitted(self, sums, own):
         """Subtract the units that this host admitted from a hub's totals.
 
-        A hub counts from the first report that it received.  While it
-        receives no reports from this host, its totals keep including the
-        last one.
+        A hub counts a host's units from the first report that it received.
+        While it receives no reports from this host, its totals continue to
+        include the last one.
         """
         first, last = self._hubs.get(sums.run, (None, None))
         if own is not None:
--- a/pearrun/shared/peerlinks.py
+++ b/pearrun/shared/peerlinks.py
@@ -20,7 +20,7 @@
 from pearrun.shared import reports
 
 # How often the inputs of the link plan are checked for changes, and how often
-# the plan is computed even without one.
+# the plan is computed even if they have not changed.
 PLAN_CHECK_INTERVAL_MS = 200
 REPLAN_INTERVAL_MS = 1000
 CONNECT_TIMEOUT_MS = 800
--- a/pearrun/shared/quarantine.py
+++ b/pearrun/shared/quarantine.py
@@ -80,7 +80,7 @@
             self._update_quarantine('answer')
 
     def handle_crashes(self, crashes):
-        """Add crashes that occurred under this host's own calls.
+        """Add crashes that broke calls of this host.
 
         :param crashes: pairs of a fingerprint and a :class:`Crash`.
         """
--- a/pearrun/shared/runreports.py
+++ b/pearrun/shared/runreports.py
@@ -1,7 +1,8 @@
 """The latest reports of other hosts, while they are valid."""
 
 # Older reports no longer describe the current load, since most of their calls
-# have ended.  Ten report intervals, so that a few lost reports do not matter.
+# have ended.  This is ten report intervals, so that a few lost reports have no
+# effect.
 REPORT_VALID_MS = 2000
 
 
