--- a/pearrun/http1/server.py
+++ b/pearrun/http1/server.py
@@ -113,7 +113,7 @@
         """Close at once; the caller sees a started response as incomplete."""
         self.transport.abort()
 
-    # the connection's task
+    # Methods that run in the connection's own task.
 
     async def _serve(self):
         try:
@@ -153,7 +153,7 @@
     async def _read_request(self, limits):
         """Read a complete request.
 
-        :returns: a :class:`Request`; ``None`` if the caller sent none.
+        :returns: a :class:`Request`; ``None`` if no request was received.
         :raises RejectedError: the request violates the protocol or a limit.
         """
         head = await self._read_head(limits)
--- a/pearrun/platform/followers.py
+++ b/pearrun/platform/followers.py
@@ -66,7 +66,7 @@
                 await backoff.pause()
 
     async def _read_once(self):
-        """Read a snapshot if there is none yet, else changes, once."""
+        """Read a snapshot the first time, and the changes since then later."""
         if self.position is None:
             await self._read_newest()
             return
@@ -178,7 +178,8 @@
         if changes is not None:
             self._apply_forwarded(changes)
         elif self.feed.has_gap or self.host.clock.now() >= deadline_ms:
-            # Not a long poll: it may miss a record written as it begins.
+            # The read does not wait: a long poll may miss a record that is
+            # written while the poll begins.
             await self._read_changes(wait_ms=0)
 
     async def _read_changes(self, wait_ms):
@@ -226,11 +227,11 @@
 
     def _mark_reachable(self):
         super()._mark_reachable()
-        self.host.config.has_reader = True
+        self.host.config.is_polling_store = True
 
     def _mark_unreachable(self, exc):
         super()._mark_unreachable(exc)
-        self.host.config.has_reader = False
+        self.host.config.is_polling_store = False
 
     def apply_snapshot(self, records, read_start_ms):
         """See :class:`Follower`."""
@@ -245,6 +246,6 @@
                 )
                 if config is not None:
                     self.host.config.offer(config, 'store')
-        # An empty read confirms that nothing was written until it ended.
+        # A read without records confirms that none was written until it ended.
         newest_ms = read_start_ms if records else self.host.clock.now()
         self.host.config.confirm(newest_ms)
