--- a/pearrun/api/claims.py
+++ b/pearrun/api/claims.py
@@ -139,9 +139,9 @@
         )
 
     async def publish(self, key, kind, text=None):
-        """Publish a claimed key's outcome; retry until it is on the log.
+        """Publish a claimed key's outcome; retry until it is in the log.
 
-        The first outcome on the log is final; later ones are dropped.
+        The first outcome in the log is final; later ones are dropped.
         """
         value = {'kind': kind, 'text': text}
         backoff = Backoff()
--- a/pearrun/api/crashes.py
+++ b/pearrun/api/crashes.py
@@ -33,9 +33,10 @@
 
 
 class JobCrashTracker:
-    """Detects crashes under this daemon's jobs, and shares the suspects.
+    """Detects endpoint crashes during this daemon's jobs; shares suspects.
 
-    A suspect is a request under which endpoints crashed.
+    A suspect is a request that is suspected of crashing endpoints, since
+    endpoints crashed while they ran it.
     """
 
     def __init__(self):
@@ -49,8 +50,8 @@
 
         :param request: a :class:`Job`, or another object with its
             ``fingerprint``.
-        :raises QuarantinedError: endpoints crashed under the request;
-            it has not run.
+        :raises QuarantinedError: endpoints crashed while they ran an
+            identical request; this one has not run.
         """
         left_ms = self.quarantine.left_ms(request)
         if left_ms:
@@ -62,7 +63,8 @@
     def check_job(self, job):
         """Raise an error if an accepted job's request is quarantined.
 
-        :raises CrashedEndpointsError: endpoints crashed under it.
+        :raises CrashedEndpointsError: endpoints crashed while they ran
+            the request.
         """
         if self.quarantine.left_ms(job):
             raise exceptions.CrashedEndpointsError(
@@ -74,7 +76,7 @@
         self.quarantine.note_answered(job)
 
     def check_for_crash(self, job, endpoint, ran_ms, progressed):
-        """Start checking whether an endpoint crashed under a failed job.
+        """Start checking whether an endpoint crashed while it ran a job.
 
         :param ran_ms: how long the job ran on the endpoint.
         :param progressed: whether the job received tokens from it.
--- a/pearrun/api/dispatcher.py
+++ b/pearrun/api/dispatcher.py
@@ -97,7 +97,7 @@
 
         :param body: a :class:`CompletionBody`.
         :param key: the caller's ``Idempotency-Key`` header, if any.
-        :param require_durable: whether the acceptance must be on the log,
+        :param require_durable: whether the acceptance must be in the log,
             because the caller is told "accepted" before it has the
             answer.  A caller that waits for the answer to an idempotent
             request is served even while the log is down.
@@ -176,7 +176,7 @@
     async def serve(self, job, service):
         """Start a job at once and journal it concurrently.
 
-        :returns: the :class:`Job`, once its acceptance is on the log,
+        :returns: the :class:`Job`, once its acceptance is in the log,
             or once the log fails or takes longer than
             ``accept_wait_ms``; the acceptance or the answer is then
             written later.
@@ -257,7 +257,7 @@
     def record_end(self, job):
         """Journal a job's final state, and schedule the job's removal.
 
-        :returns: a future, done once the entry is on the log.
+        :returns: a future, done once the entry is in the log.
         """
         self.schedule_removal(job)
         return self.journal.enqueue(build_finished_entry(job))
@@ -356,7 +356,7 @@
 
 
 def update_durability(job, append_future):
-    """Record whether a job's acceptance is on the log."""
+    """Record whether a job's acceptance is in the log."""
     job.durable = (
         not append_future.cancelled() and append_future.exception() is None
     )
--- a/pearrun/api/journal.py
+++ b/pearrun/api/journal.py
@@ -1,6 +1,6 @@
-"""The request journal: this host's requests on the platform log.
+"""The request journal: this host's requests, stored in the platform log.
 
-A request is durably accepted once its entry is on the log service, so
+A request is durably accepted once its entry is stored in the log, so
 that another host can answer it if this one fails.  Each run of a
 daemon has a stream of its own, of which it is the only writer, and
 every append states the offset that it expects.  Hence:
@@ -141,10 +141,12 @@
         await committed
 
     def enqueue(self, entry, durable=True):
-        """Queue one entry, to be sent within :data:`LINGER_MS`.
+        """Queue one entry for the next batch.
 
-        An entry that no caller waits for is batched with later ones, so
-        on a busy host it needs no append of its own.
+        The writer task is woken when a caller sets ``wake``, as
+        :meth:`write` does, and otherwise within :data:`LINGER_MS`.  An
+        entry whose caller does not set ``wake`` is thus batched with
+        later ones, so on a busy host it needs no append of its own.
 
         :param durable: see :class:`Pending`.
         :returns: a future that is done once the entry is committed.
--- a/pearrun/api/lookup.py
+++ b/pearrun/api/lookup.py
@@ -2,7 +2,7 @@
 
 A request id contains the name of the journal that accepted the request.
 The request is looked up in this order: in this daemon's memory; at the
-daemon that writes the journal, if it is alive; on the log, in the
+daemon that writes the journal, if it is alive; in the log, in the
 journal and in those that took its requests over.
 """
 
@@ -44,7 +44,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Stored:
-    """The request has ended and its answer is on the log."""
+    """The request has ended and its answer is stored in the log."""
 
     finished: Finished
 
--- a/pearrun/api/members.py
+++ b/pearrun/api/members.py
@@ -31,8 +31,8 @@
 
     ``missed`` counts the observer's own heartbeats since that one.
     ``replaced`` says that a later run of the daemon on the same host has
-    sent heartbeats.  ``suspects`` are the requests under which endpoints
-    crashed.
+    sent heartbeats.  ``suspects`` are the requests suspected of
+    crashing endpoints, in the form in which heartbeats contain them.
     """
 
     name: str
@@ -83,8 +83,8 @@
         :class:`Member`.
     :param on_leaving: called with each endpoint id that another
         daemon reports as leaving.
-    :param on_suspects: called with the requests under which endpoints
-        crashed, as another daemon reports them.
+    :param on_suspects: called with the ``suspects`` of each heartbeat of
+        another daemon, if it has any.
     """
 
     def __init__(
@@ -181,10 +181,11 @@
 
     @property
     def heartbeat_interval_ms(self):
-        """Interval between heartbeats; it grows with the number of daemons.
+        """Interval between the scheduled heartbeats of this daemon.
 
-        All live daemons together append at most
-        :data:`MAX_HEARTBEATS_PER_S`.
+        It is ``beat_ms``, or longer if there are so many live daemons that
+        together they would append more than
+        :data:`MAX_HEARTBEATS_PER_S` heartbeats per second.
         """
         rate_limited_ms = 1000 * len(self.list_live()) // MAX_HEARTBEATS_PER_S
         return max(self.settings.host.beat_ms, rate_limited_ms)
@@ -209,7 +210,7 @@
             await self.send_heartbeat(extra=True)
 
     async def poll_once(self):
-        """Read and process the new heartbeats on the log.
+        """Read and process the new heartbeats in the log.
 
         :raises JournalUnavailableError: the log service is unavailable.
         """
--- a/pearrun/api/recovery.py
+++ b/pearrun/api/recovery.py
@@ -122,12 +122,13 @@
         raise exceptions.JournalUnavailableError('append outcome unknown')
 
     async def seal(self, stream):
-        """Seal a stream for this daemon.
+        """Append this daemon's ``Sealed`` entry to a dead host's journal.
 
         :param stream: the journal stream of the dead host.
         :returns: the :class:`JournalState` at the seal, or ``None`` if
-            another live daemon has sealed the stream, it is already
-            emptied, or too many appends conflicted.
+            another live daemon has sealed the stream, if the takeover of
+            the stream is already complete (it has an ``Emptied`` entry),
+            or if too many appends conflicted.
         """
         own = self.journal.stream
         for _ in range(MAX_APPEND_ATTEMPTS):
--- a/pearrun/api/runner.py
+++ b/pearrun/api/runner.py
@@ -125,7 +125,8 @@
 
         :raises EndpointRefusedError: the engine rejected the request
             as invalid; all other engines would, too.
-        :raises CrashedEndpointsError: endpoints crashed under the request.
+        :raises CrashedEndpointsError: endpoints crashed while they ran
+            the request.
         """
         counters = self.metrics.get_or_create(job.service)
         tried = set()
--- a/pearrun/api/structures.py
+++ b/pearrun/api/structures.py
@@ -70,10 +70,10 @@
     the number of its runs so far, ``readers`` the number of callers
     that are reading the answer, and ``token_ms`` an exponential moving
     average of the time between tokens.  ``saved`` is the number of
-    tokens on the log, ``saved_ms`` the time when the acceptance was last
+    tokens in the log, ``saved_ms`` the time when the acceptance was last
     written there, and ``saving`` the write in progress.  ``handed_over``
     says that another host continues the job, and ``durable`` that its
-    acceptance is on the log.
+    acceptance is in the log.
     """
 
     id: RequestId
--- a/pearrun/bench/faults.py
+++ b/pearrun/bench/faults.py
@@ -52,5 +52,5 @@
 
 
 async def inject_faults(session, plan):
-    """Inject all faults of a round at their times."""
+    """Inject each fault of a round when it is due."""
     await asyncio.gather(*(inject(session, plan, f) for f in plan.faults))
--- a/pearrun/bench/plan.py
+++ b/pearrun/bench/plan.py
@@ -97,7 +97,8 @@
     :param log: the faults of the log service.
     :param refuse_replacements: whether the cloud refuses replacement
         hosts.
-    :param link: URL of the link set to ``mode``.
+    :param link: administrative URL of the link stand-in whose mode is set
+        to ``mode``.
     """
 
     at_s: float = pydantic.Field(ge=0)
