--- a/pearrun/relay/responsekinds.py
+++ b/pearrun/relay/responsekinds.py
@@ -9,8 +9,8 @@
     With ``NOT_RUN`` the endpoint states that it has not run the call;
     ``WRONG_ENDPOINT`` means that another endpoint than expected has
     received it.  A ``STRAY`` response belongs to another request; an
-    ``UNSEALED`` one lacks the ``Pearrun-Runner-Seal`` header.  Any other
-    response is an ``ANSWER``.
+    ``UNSEALED`` one lacks the endpoint's signature.  Any other response is
+    an ``ANSWER``.
     """
 
     ANSWER = 'answer'
