--- a/pearrun/relay/relay.py
+++ b/pearrun/relay/relay.py
@@ -22,8 +22,8 @@
 MAX_ATTEMPTS = 4
 # Reason in the log line of a call that is refused as quarantined.
 QUARANTINED = 'quarantined'
-# Retry-After if no endpoint is available.  The list of endpoints is refreshed
-# within about 2 s; this is a fraction of that.
+# Retry-After if no endpoint is available.  Endpoints that are missing from the
+# list are listed again within about 2 s; this is a fraction of that.
 NO_ENDPOINT_RETRY_AFTER_MS = 500
 # Factor by which Retry-After exceeds the time until a customer over its
 # quota may send the next call: several calls wait for the same units.
